--- a/tests/runner/kinds.h
+++ b/tests/runner/kinds.h
@@ -8,8 +8,9 @@
 
 namespace runner {
 
-// Real cores in simulated time against the stand-ins.
-void play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
+// Real cores in simulated time against the stand-ins. Returns a digest of all that the controllers
+// did (standins/effects_digest.h).
+uint64_t play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
 // Figures of the paper's rule against values worked out apart from the code.
 void run_sizing(const std::vector<Line>& lines);
 // Messages whole and in pieces.
--- a/tests/runner/main.cc
+++ b/tests/runner/main.cc
@@ -7,15 +7,17 @@
 
 int main(int argc, char** argv) {
   if (argc < 2) {
-    std::cerr << "usage: scenario FILE [SEED] [-v]\n";
+    std::cerr << "usage: scenario FILE [SEED …] [-v] [--effects]\n";
     return 2;
   }
   const std::string path = argv[1];
-  bool verbose = false;
+  bool verbose = false, effects = false;
   std::vector<uint64_t> seeds;
   for (int i = 2; i < argc; ++i) {
     if (std::string(argv[i]) == "-v")
       verbose = true;
+    else if (std::string(argv[i]) == "--effects")
+      effects = true;
     else
       seeds.push_back(std::stoull(argv[i]));
   }
@@ -42,7 +44,8 @@
           seeds.push_back(static_cast<uint64_t>(head.get("first", 1)) + static_cast<uint64_t>(i));
       for (uint64_t s : seeds) {
         seed = s;
-        runner::play_world(lines, s, verbose);
+        const uint64_t digest = runner::play_world(lines, s, verbose);
+        if (effects) std::cout << path << " seed " << s << " effects " << digest << "\n";
       }
     }
   } catch (const std::exception& e) {
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -74,6 +74,8 @@
     options_.verbose = verbose;
   }
 
+  uint64_t effects_digest() const { return world_->effects_digest(); }
+
   void run() {
     for (const auto& l : lines_) {
       const std::string verb = l.word(0);
@@ -400,8 +402,10 @@
 
 }  // namespace
 
-void play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose) {
-  WorldScenario(lines, seed, verbose).run();
+uint64_t play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose) {
+  WorldScenario scenario(lines, seed, verbose);
+  scenario.run();
+  return scenario.effects_digest();
 }
 
 }  // namespace runner
--- a/tests/standins/world.cc
+++ b/tests/standins/world.cc
@@ -167,6 +167,7 @@
   Node& n = nodes_[static_cast<size_t>(node)];
   core::Effects out = std::move(n.core->effects());
   n.core->effects().clear();
+  effects_digest_.add(now_, n.label, out);
   if (options_.verbose)
     for (const auto& l : out.log)
       std::cerr << now_ << " " << n.label << " " << l.component << ": " << l.text << "\n";
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -13,6 +13,7 @@
 #include "rooksill/core/core.h"
 #include "rooksill/settings/settings.h"
 #include "standins/cloud.h"
+#include "standins/effects_digest.h"
 #include "standins/state_service.h"
 #include "standins/worker.h"
 
@@ -109,6 +110,7 @@
   int starts_of(const std::string& id) const;
   bool all_over() const;
   uint64_t peer_bytes() const { return peer_bytes_; }
+  uint64_t effects_digest() const { return effects_digest_.value(); }
   int count_told(const std::string& what) const;
   const std::vector<std::string>& violations() const { return violations_; }
   void violate(const std::string& text);
@@ -200,6 +202,7 @@
   std::vector<std::string> violations_;
   Island island_;
   uint64_t peer_bytes_ = 0;  // between controllers
+  EffectsDigest effects_digest_;
   double copy_chance_ = 0, copy_s_ = 0;
   double trouble_until_ = 0;  // the last of the troubles so far ends then
   double lose_chance_ = 0, late_chance_ = 0, late_s_ = 0;
