--- a/src/main.cc
+++ b/src/main.cc
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "rooksill/core/service.h"
+#include "rooksill/controller/process.h"
 #include "rooksill/settings/settings.h"
 
 namespace {
@@ -56,7 +56,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     set_up_log();
-    rooksill::serve(settings);
+    rooksill::controller::serve(settings);
   } catch (const std::exception& e) {
     std::cerr << "rooksill: " << e.what() << "\n";
     return 1;
--- a/src/rooksill/api/user_requests.h
+++ b/src/rooksill/api/user_requests.h
@@ -3,19 +3,19 @@
 
 #include <deque>
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/state/committer.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/committer.h"
+#include "rooksill/store/replica.h"
 
 namespace rooksill::api {
 
-class Users {
+class UserRequests {
  public:
-  Users(core::Context& ctx, core::Replica& replica, state::Client& client,
-        state::Committer& committer)
+  UserRequests(runtime::Context& ctx, store::Replica& replica, store::Client& client,
+               store::Committer& committer)
       : ctx_(ctx), replica_(replica), client_(client), committer_(committer) {}
 
-  void handle(const core::Request& request);
+  void handle(const runtime::Request& request);
   // Sends what is waiting; comes after reports and decisions.
   void flush();
   size_t submissions() const { return creations_.size(); }
@@ -25,7 +25,7 @@
  private:
   struct Creation {
     uint64_t request = 0;
-    core::Job job;
+    model::Job job;
     double since = 0;
   };
   struct Poll {
@@ -34,12 +34,12 @@
     double since = 0;
   };
 
-  void submit(const core::Request& request);
+  void submit(const runtime::Request& request);
   void refuse(uint64_t request, const std::string& id, const std::string& why);
   void poll(uint64_t request, const std::string& id);
   void cancel(uint64_t request, const std::string& id, int tries);
   void answer(uint64_t request, const std::string& id);
-  // `found` runs once the job is in the replica, `absent` if the state service has no such job.
+  // `found` runs once the job is in the replica, `absent` if the store has no such job.
   void look_up(uint64_t request, const std::string& id, std::function<void()> found,
                std::function<void()> absent);
   void look_up(uint64_t request, const std::string& id, std::function<void()> found);
@@ -47,12 +47,12 @@
   double pause(double share) const;
   void flush_creations();
   void flush_polls();
-  std::string unrunnable(const core::JobSpec& spec) const;
+  std::string unrunnable(const model::JobSpec& spec) const;
 
-  core::Context& ctx_;
-  core::Replica& replica_;
-  state::Client& client_;
-  state::Committer& committer_;
+  runtime::Context& ctx_;
+  store::Replica& replica_;
+  store::Client& client_;
+  store::Committer& committer_;
   std::deque<Creation> creations_;
   std::deque<Poll> polls_;
   std::vector<std::string> accepted_;
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -1,62 +1,63 @@
-#include "rooksill/core/core.h"
+#include "rooksill/controller/controller.h"
 
 #include <algorithm>
 
-namespace rooksill::core {
+namespace rooksill::controller {
 
 using nlohmann::json;
 
 namespace {
-constexpr double kBeatsPerReport = 10;
+constexpr double kHeartbeatsPerReport = 10;
 constexpr double kLeaderTick = 0.1;
 constexpr double kRefusedReports = 0.2;  // by which another's answers come later than our last
 constexpr double kPauseReports = 0.3;    // between two batches: the process stood still
-constexpr size_t kViewsPerMessage = 200;
+constexpr size_t kStatusesPerMessage = 200;
 }  // namespace
 
-Core::Core(const Settings& settings, uint64_t seed, double wall, bool debug)
+Controller::Controller(const Settings& settings, uint64_t seed, double wall, bool debug)
     : ctx_(settings, seed),
       replica_(settings.platform),
       client_(settings.platform,
               [this](std::string method, std::string path, std::string body, double timeout,
-                     CallHandler handler) {
-                ctx_.call(Target::kState, ctx_.settings.platform.state_address, std::move(method),
-                          std::move(path), std::move(body), timeout, std::move(handler));
+                     runtime::CallHandler handler) {
+                ctx_.call(runtime::Target::kState, ctx_.settings.platform.state_address,
+                          std::move(method), std::move(path), std::move(body), timeout,
+                          std::move(handler));
               }),
       committer_(ctx_, replica_, client_),
-      syncer_(ctx_, replica_, client_),
+      replica_sync_(ctx_, replica_, client_),
       peers_(ctx_),
       upgrade_(ctx_, replica_, committer_, peers_),
       cancellations_(ctx_, replica_, peers_),
-      holder_(ctx_, replica_, client_, committer_, cancellations_),
+      owner_(ctx_, replica_, client_, committer_, cancellations_),
       fleet_(ctx_, replica_, committer_),
-      leader_(ctx_, replica_, client_, committer_, peers_, holder_, fleet_),
-      users_(ctx_, replica_, client_, committer_) {
+      leader_(ctx_, replica_, client_, committer_, peers_, owner_, fleet_),
+      user_requests_(ctx_, replica_, client_, committer_) {
   ctx_.debug_on = debug;
   // Grows from process to process of a node, but for the clock's error.
   ctx_.incarnation = (static_cast<uint64_t>(wall * 1000) << 12) | (ctx_.rng() & 0xfff);
 }
 
-bool Core::ready() const {
+bool Controller::ready() const {
   if (!replica_.synced || replica_.types.empty()) return false;
   if (client_.healthy()) return true;
-  // Refused by the state service while another node is served: users do better there. In an outage
+  // Refused by the store while another node is served: users do better there. In an outage
   // nobody is, and to be passed over for it would cost the time until a balancer trusts us again:
   // so another must have been answered well after we were no more.
   for (const auto& p : ctx_.settings.platform.peers) {
-    const Peer* peer = peers_.find(p.label);
-    if (peer != nullptr && peers_.alive(p.label) && peer->beat.ready &&
-        peer->last_heard - peer->beat.state_age >
+    const membership::Peer* peer = peers_.find(p.label);
+    if (peer != nullptr && peers_.alive(p.label) && peer->heartbeat.ready &&
+        peer->last_heard - peer->heartbeat.store_age >
             client_.failing_since() + kRefusedReports * ctx_.settings.platform.report_s)
       return false;
   }
   return true;
 }
 
-void Core::on_request(const Request& r) {
+void Controller::on_request(const runtime::Request& r) {
   if (r.target == "/agent/beat") {
     if (r.method != "POST") return ctx_.reply(r.id, 405, "{}");
-    return holder_.report(r.id, r.body);
+    return owner_.report(r.id, r.body);
   }
   if (r.target == "/ready") {
     if (r.method != "GET") return ctx_.reply(r.id, 405, "{}");
@@ -64,122 +65,124 @@
     return ctx_.reply(r.id, ok ? 200 : 503, ok ? "{\"ready\":true}" : "{\"ready\":false}",
                       ok ? 0 : 1);
   }
-  users_.handle(r);
+  user_requests_.handle(r);
 }
 
-void Core::on_peer(const PeerMessage& m) {
+void Controller::on_peer(const runtime::PeerMessage& m) {
   auto e = peers_.receive(m.bytes);
   if (!e) return;
-  switch (static_cast<net::PeerKind>(e->kind)) {
-    case net::PeerKind::kBeat: {
-      net::Beat beat;
-      if (!net::unpack(e->payload, beat)) return;
-      for (const auto& a : beat.addresses) holder_.note_address(a.machine, a.address);
-      cancellations_.heard(e->label, beat);
-      peers_.all()[e->label].beat = std::move(beat);
+  switch (static_cast<wire::PeerKind>(e->kind)) {
+    case wire::PeerKind::kHeartbeat: {
+      wire::ControllerHeartbeat heartbeat;
+      if (!wire::unpack(e->payload, heartbeat)) return;
+      for (const auto& a : heartbeat.addresses) owner_.record_address(a.machine, a.address);
+      cancellations_.heard(e->label, heartbeat);
+      peers_.all()[e->label].heartbeat = std::move(heartbeat);
       return;
     }
-    case net::PeerKind::kViews: {
-      net::Views v;
-      if (net::unpack(e->payload, v)) take_views(e->label, std::move(v.machines));
+    case wire::PeerKind::kMachineStatus: {
+      wire::MachineStatusUpdate v;
+      if (wire::unpack(e->payload, v)) take_statuses(e->label, std::move(v.machines));
       return;
     }
-    case net::PeerKind::kUpdates: {
-      net::Updates u;
-      if (!replica_.synced || !net::unpack(e->payload, u)) return;
+    case wire::PeerKind::kUpdates: {
+      wire::Updates u;
+      if (!replica_.synced || !wire::unpack(e->payload, u)) return;
       for (const auto& x : u.items) {
         if (x.value.empty()) {
-          replica_.remove(x.key, x.stamp);
+          replica_.remove(x.key, x.revision);
           continue;
         }
         json value = json::parse(x.value, nullptr, false);
-        if (!value.is_discarded()) replica_.apply(x.key, value, x.stamp);
+        if (!value.is_discarded()) replica_.apply(x.key, value, x.revision);
       }
       return;
     }
-    case net::PeerKind::kCancelled: {
-      net::Cancelled c;
-      if (net::unpack(e->payload, c)) cancellations_.heard(e->label, c);
+    case wire::PeerKind::kCancelled: {
+      wire::Cancelled c;
+      if (wire::unpack(e->payload, c)) cancellations_.heard(e->label, c);
       return;
     }
-    case net::PeerKind::kRoutes: {
-      net::Routes r;
-      if (net::unpack(e->payload, r)) holder_.routes(r);
+    case wire::PeerKind::kRouting: {
+      wire::RoutingUpdate r;
+      if (wire::unpack(e->payload, r)) owner_.routes(r);
       return;
     }
-    case net::PeerKind::kSighting: {
-      net::Sighting s;
-      if (net::unpack(e->payload, s)) {
-        holder_.note_address(s.machine, s.address);
-        fleet_.sighted(s);
+    case wire::PeerKind::kUnassignedMachine: {
+      wire::UnassignedMachine s;
+      if (wire::unpack(e->payload, s)) {
+        owner_.record_address(s.machine, s.address);
+        fleet_.on_unassigned_machine(s);
       }
       return;
     }
   }
 }
 
-void Core::take_views(const std::string& label, std::vector<net::MachineView> machines) {
+void Controller::take_statuses(const std::string& label,
+                               std::vector<wire::MachineStatus> machines) {
   for (auto& v : machines) {
-    const Machine* m = replica_.machine(v.name);
-    // Only the block's holder speaks for it.
-    if (m == nullptr || replica_.leases[static_cast<size_t>(m->block)].holder != label) continue;
-    told_by_[v.name] = label;
+    const model::Machine* m = replica_.machine(v.name);
+    // Only the partition's owner speaks for it.
+    if (m == nullptr || replica_.leases[static_cast<size_t>(m->partition)].owner != label) continue;
+    published_by_[v.name] = label;
     const std::string name = v.name;
-    views_[name] = std::move(v);
+    statuses_[name] = std::move(v);
   }
 }
 
-// What a former holder said, and what was said of machines that are gone, counts no more.
-void Core::forget_views() {
-  std::erase_if(told_by_, [&](const auto& t) {
-    const Machine* m = replica_.machine(t.first);
-    if (m != nullptr && replica_.leases[static_cast<size_t>(m->block)].holder == t.second)
+// What a former owner said, and what was said of machines that are gone, counts no more.
+void Controller::forget_statuses() {
+  std::erase_if(published_by_, [&](const auto& t) {
+    const model::Machine* m = replica_.machine(t.first);
+    if (m != nullptr && replica_.leases[static_cast<size_t>(m->partition)].owner == t.second)
       return false;
-    views_.erase(t.first);
+    statuses_.erase(t.first);
     return true;
   });
 }
 
-// Holders tell the leader of their machines: all of them to a new one, then what changes.
-void Core::tell_views() {
-  const Leadership& l = replica_.leader;
+// Owners tell the leader of their machines: all of them to a new one, then what changes.
+void Controller::publish_statuses() {
+  const model::Leadership& l = replica_.leader;
   if (l.label.empty()) return;
-  const bool fresh = l.stamp != told_to_.stamp;
-  auto views = holder_.take_views(fresh);
-  told_to_ = l;
-  if (views.empty()) return;
-  if (l.label == ctx_.settings.platform.label) return take_views(l.label, std::move(views));
-  net::Views message;
-  for (auto& v : views) {
+  const bool fresh = l.revision != published_to_.revision;
+  auto statuses = owner_.take_statuses(fresh);
+  published_to_ = l;
+  if (statuses.empty()) return;
+  if (l.label == ctx_.settings.platform.label) return take_statuses(l.label, std::move(statuses));
+  wire::MachineStatusUpdate message;
+  for (auto& v : statuses) {
     message.machines.push_back(std::move(v));
-    if (message.machines.size() < kViewsPerMessage) continue;
-    peers_.send(l.label, net::PeerKind::kViews, net::pack(message));
+    if (message.machines.size() < kStatusesPerMessage) continue;
+    peers_.send(l.label, wire::PeerKind::kMachineStatus, wire::pack(message));
     message.machines.clear();
   }
-  if (!message.machines.empty()) peers_.send(l.label, net::PeerKind::kViews, net::pack(message));
+  if (!message.machines.empty())
+    peers_.send(l.label, wire::PeerKind::kMachineStatus, wire::pack(message));
 }
 
-bool Core::state_answers() const {
+bool Controller::store_answers() const {
   return client_.healthy() ||
          ctx_.now.steady - client_.last_answer() < ctx_.settings.platform.report_s / 2;
 }
 
-void Core::send_beat() {
-  net::Beat b;
+void Controller::send_heartbeat() {
+  wire::ControllerHeartbeat b;
   b.ready = replica_.synced;
-  b.state_ok = state_answers();
-  b.state_age = ctx_.now.steady - client_.last_answer();
-  b.suspects_itself = holder_.suspects_itself();
+  b.store_ok = store_answers();
+  b.store_age = ctx_.now.steady - client_.last_answer();
+  b.suspects_itself = owner_.suspects_itself();
   b.term = leader_.term();
-  b.addresses = holder_.take_addresses();
-  b.unreachable_zones = holder_.unreachable_zones();
-  b.team_use = holder_.team_use();
+  b.addresses = owner_.take_addresses();
+  b.unreachable_zones = owner_.unreachable_zones();
+  b.quota_use = owner_.quota_use();
   cancellations_.fill(b);
-  peers_.broadcast(net::PeerKind::kBeat, net::pack(b));
+  peers_.broadcast(wire::PeerKind::kHeartbeat, wire::pack(b));
 }
 
 // What this node did and what waits, once a period: enough to tell overload from trouble.
-void Core::tell_counts() {
+void Controller::log_counters() {
   const auto& s = ctx_.settings;
   const double period = s.operators.period_reports * s.platform.report_s;
   if (ctx_.now.steady < next_counts_) return;
@@ -187,53 +190,54 @@
     std::string text;
     for (const auto& [name, n] : ctx_.counts) text += fmt::format(" {} {:.1f}", name, n / period);
     ctx_.info("load", "a second:{}; waiting: {} changes, {} submissions, {} polls, {} jobs; {}",
-              text, holder_.queued(), users_.submissions(), users_.polls(),
-              replica_.waiting_jobs.size(), holder_.summary());
+              text, owner_.queued(), user_requests_.submissions(), user_requests_.polls(),
+              replica_.waiting_jobs.size(), owner_.summary());
     ctx_.counts.clear();
   }
   next_counts_ = ctx_.now.steady + period;
 }
 
 // For those that cannot be told anything over a connection: a write every so often, and only then.
-void Core::leave_life_sign() {
-  if (ctx_.now.steady < next_sign_ || !replica_.synced || !state_answers()) return;
+void Controller::write_liveness_record() {
+  if (ctx_.now.steady < next_liveness_write_ || !replica_.synced || !store_answers()) return;
   const auto owed = peers_.owed(replica_);
   if (owed.empty()) return;
-  LifeSign s;
+  model::LivenessRecord s;
   s.incarnation = ctx_.incarnation;
-  s.suspects_itself = holder_.suspects_itself();
+  s.suspects_itself = owner_.suspects_itself();
   s.meant_for = owed;
-  s.silent = holder_.silent_machines();
-  s.unreachable_zones = holder_.unreachable_zones();
-  const auto key = life_sign_key(ctx_.settings.platform.label);
-  if (committer_.commit({}, {{key, encode_life_sign(s), 0}}, [](const state::TxnResult&) {})) {
+  s.silent = owner_.silent_machines();
+  s.unreachable_zones = owner_.unreachable_zones();
+  const auto key = wire::liveness_key(ctx_.settings.platform.label);
+  if (committer_.commit({}, {{key, wire::encode_liveness(s), 0}},
+                        [](const store::TransactionResult&) {})) {
     ctx_.count("life_signs");
-    next_sign_ = ctx_.now.steady + peers_.sign_pause();
+    next_liveness_write_ = ctx_.now.steady + peers_.liveness_interval();
   }
 }
 
-// Of machines whose holder is alive and cannot be heard, the leader knows what the state says.
-void Core::view_from_state() {
+// Of machines whose owner is alive and cannot be heard, the leader knows what the state says.
+void Controller::status_from_store() {
   const double report = ctx_.settings.platform.report_s;
-  if (!leader_.leading() || ctx_.now.steady < next_state_views_) return;
-  next_state_views_ = ctx_.now.steady + report / 4;
+  if (!leader_.leading() || ctx_.now.steady < next_store_statuses_) return;
+  next_store_statuses_ = ctx_.now.steady + report / 4;
   for (size_t b = 0; b < replica_.leases.size(); ++b) {
-    const std::string& holder = replica_.leases[b].holder;
-    if (holder == ctx_.settings.platform.label || peers_.heard(holder) || !peers_.alive(holder))
+    const std::string& owner = replica_.leases[b].owner;
+    if (owner == ctx_.settings.platform.label || peers_.heard(owner) || !peers_.alive(owner))
       continue;
-    const auto& silent = replica_.life_signs[holder].silent;
+    const auto& silent = replica_.liveness_records[owner].silent;
     for (const auto& page : replica_.pages[b])
       for (const auto& name : page.names) {
-        const Machine& m = *replica_.machine(name);
+        const model::Machine& m = *replica_.machine(name);
         auto type = replica_.types.find(m.type);
         if (type == replica_.types.end()) continue;
-        const MachineType& t = type->second;
-        const MachineLoad& load = replica_.load(name);
-        net::MachineView& v = views_[name];
-        told_by_[name] = holder;
+        const model::MachineType& t = type->second;
+        const store::MachineLoad& load = replica_.load(name);
+        wire::MachineStatus& v = statuses_[name];
+        published_by_[name] = owner;
         v.name = name;
         v.up = v.up || !load.tasks.empty() || ctx_.now.wall - m.rented > 2 * t.boot_s;
-        v.draining = false;  // its holder cannot be told, nor say that it is empty
+        v.draining = false;  // its owner cannot be told, nor say that it is empty
         v.silent = std::find(silent.begin(), silent.end(), name) != silent.end();
         v.cpus_free = v.up && !v.silent ? t.cpus - load.cpus : 0;
         v.gpus_free = t.gpus - load.gpus;
@@ -245,107 +249,109 @@
   }
 }
 
-void Core::tick() {
+void Controller::tick() {
   cancellations_.collect();
   cancellations_.tell();
-  tell_counts();
+  log_counters();
   client_.tick(ctx_.now.steady, peers_.live());
   peers_.see(replica_);
-  leave_life_sign();
-  syncer_.tick();
+  write_liveness_record();
+  replica_sync_.tick();
   committer_.tick();
   upgrade_.tick(leader_.leading());
-  if (Upgrade::complete(replica_)) peers_.speak(kPresentVersion);
-  holder_.tick();
+  if (membership::Upgrade::complete(replica_)) peers_.speak(model::kPresentVersion);
+  owner_.tick();
   const double now = ctx_.now.steady;
-  if (now >= next_scan_) {
-    next_scan_ = now + kTick * 0.9;
-    holder_.scan();
+  if (now >= next_timeout_check_) {
+    next_timeout_check_ = now + kTick * 0.9;
+    owner_.check_timeouts();
   }
-  if (now >= next_beat_) {
-    next_beat_ = now + ctx_.settings.platform.report_s / kBeatsPerReport;
-    send_beat();
-    tell_views();
+  if (now >= next_heartbeat_) {
+    next_heartbeat_ = now + ctx_.settings.platform.report_s / kHeartbeatsPerReport;
+    send_heartbeat();
+    publish_statuses();
   }
   if (now >= next_leader_) {
     next_leader_ = now + kLeaderTick;
-    forget_views();
-    view_from_state();
+    forget_statuses();
+    status_from_store();
     fleet_.observe();
-    leader_.tick(views_);
-    for (const auto& [name, address] : fleet_.take_addresses()) holder_.note_address(name, address);
+    leader_.tick(statuses_);
+    for (const auto& [name, address] : fleet_.take_addresses())
+      owner_.record_address(name, address);
   }
 }
 
 // A process that stood still while its clocks ran on knows nothing of the time between: others may
-// have been leased its blocks and cancelled its jobs. Until the state has answered a question asked
-// since, no task is started for what was decided before.
-void Core::note_pause(Time now) {
+// have been leased its partitions and cancelled its jobs. Until the state has answered a question
+// asked since, no task is started for what was decided before.
+void Controller::detect_pause(runtime::Time now) {
   const double since = ctx_.now.steady;
   if (since <= 0 || now.steady - since < kPauseReports * ctx_.settings.platform.report_s) return;
-  ctx_.woke = now.steady;
+  ctx_.resumed_at = now.steady;
   peers_.paused(now.steady - since);
   ctx_.info("core", "stood still for {:.1f} s: nothing is started until the state was asked",
             now.steady - since);
 }
 
-void Core::run(const std::vector<Command>& batch, Time now) {
-  note_pause(now);
+void Controller::run(const std::vector<runtime::Command>& batch, runtime::Time now) {
+  detect_pause(now);
   ctx_.now = now;
   // Ranks: reports of workers and answers first, then what controllers say, then users.
-  std::vector<const Request*> users;
+  std::vector<const runtime::Request*> users;
   for (const auto& c : batch) {
-    if (const auto* d = std::get_if<CallDone>(&c)) {
+    if (const auto* d = std::get_if<runtime::CallDone>(&c)) {
       ctx_.finish(*d);
-    } else if (const auto* r = std::get_if<Request>(&c)) {
+    } else if (const auto* r = std::get_if<runtime::Request>(&c)) {
       if (r->target == "/agent/beat" || r->target == "/ready")
         on_request(*r);
       else
         users.push_back(r);
-    } else if (const auto* m = std::get_if<PeerMessage>(&c)) {
+    } else if (const auto* m = std::get_if<runtime::PeerMessage>(&c)) {
       on_peer(*m);
-    } else if (const auto* l = std::get_if<PeerLost>(&c)) {
+    } else if (const auto* l = std::get_if<runtime::PeerLost>(&c)) {
       peers_.lost(l->label);
-      if (l->label == told_to_.label) told_to_ = {};  // what was told may not have arrived
+      if (l->label == published_to_.label)
+        published_to_ = {};  // what was told may not have arrived
     }
   }
-  for (const Request* r : users) on_request(*r);
-  if (auto s = holder_.take_sighting()) {
+  for (const runtime::Request* r : users) on_request(*r);
+  if (auto s = owner_.take_unassigned_machine()) {
     if (leader_.leading())
-      fleet_.sighted(*s);
+      fleet_.on_unassigned_machine(*s);
     else if (!replica_.leader.label.empty())
-      peers_.send(replica_.leader.label, net::PeerKind::kSighting, net::pack(*s));
+      peers_.send(replica_.leader.label, wire::PeerKind::kUnassignedMachine, wire::pack(*s));
   }
   tick();
-  // Without a leader to route them, new jobs go to the blocks of the node that took them.
-  const auto accepted = users_.take_accepted();
+  // Without a leader to route them, new jobs go to the partitions of the node that took them.
+  const auto accepted = user_requests_.take_accepted();
   if (leader_.absent()) {
-    holder_.deal_alone();
+    owner_.route_without_leader();
     for (const auto& id : accepted) {
-      const Job* j = replica_.job(id);
-      for (uint32_t c = 0; j != nullptr && c < j->chunks.size(); ++c) holder_.route_here({id, c});
+      const model::Job* j = replica_.job(id);
+      for (uint32_t c = 0; j != nullptr && c < j->shards.size(); ++c) owner_.route_here({id, c});
     }
   }
   if (!replica_.touched_jobs.empty()) {
-    holder_.want_place();
+    owner_.request_placement();
     leader_.route_now();
   }
   fleet_.measure(replica_.events);
   replica_.events.clear();
   replica_.touched_jobs.clear();
-  holder_.look();
+  owner_.look();
   replica_.touched_machines.clear();
-  holder_.transfer_limits();
-  holder_.place();
-  holder_.flush();
-  holder_.push();
-  users_.flush();
+  owner_.transfer_quotas();
+  owner_.place();
+  owner_.flush();
+  owner_.push();
+  user_requests_.flush();
   auto updates = committer_.take_updates();
   if (!updates.empty()) {
-    net::Updates u;
+    wire::Updates u;
     u.items = std::move(updates);
-    peers_.broadcast(net::PeerKind::kUpdates, net::pack(u));
+    peers_.broadcast(wire::PeerKind::kUpdates, wire::pack(u));
   }
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::controller
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -1,4 +1,4 @@
-#include "rooksill/core/service.h"
+#include "rooksill/controller/process.h"
 
 #include <ev.h>
 #include <spdlog/spdlog.h>
@@ -8,13 +8,13 @@
 #include <memory>
 #include <stdexcept>
 
-#include "rooksill/core/core.h"
-#include "rooksill/core/socket_shares.h"
+#include "rooksill/controller/controller.h"
 #include "rooksill/net/http_client.h"
 #include "rooksill/net/http_server.h"
 #include "rooksill/net/peer_net.h"
+#include "rooksill/runtime/socket_budget.h"
 
-namespace rooksill {
+namespace rooksill::controller {
 
 namespace {
 
@@ -22,39 +22,40 @@
   void operator()(struct ev_loop* loop) const { ev_loop_destroy(loop); }
 };
 
-core::Time read_clocks() {
+runtime::Time read_clocks() {
   using Seconds = std::chrono::duration<double>;
   return {Seconds(std::chrono::steady_clock::now().time_since_epoch()).count(),
           Seconds(std::chrono::system_clock::now().time_since_epoch()).count()};
 }
 
-class Service {
+class Process {
  public:
-  explicit Service(const Settings& settings)
+  explicit Process(const Settings& settings)
       : loop_(ev_loop_new(EVFLAG_AUTO)),
-        core_(settings, seed(settings), read_clocks().wall,
-              spdlog::get_level() <= spdlog::level::debug),
-        client_(loop_.get(), sockets(settings, core::kOutgoingSockets),
-                [this](core::CallDone d) { push(std::move(d)); }),
-        server_(
-            loop_.get(), settings.platform.api_address, sockets(settings, core::kIncomingSockets),
-            [this](uint64_t id, net::HttpMessage m) {
-              push(core::Request{id, std::move(m.method), std::move(m.target), std::move(m.body)});
-            }),
+        controller_(settings, seed(settings), read_clocks().wall,
+                    spdlog::get_level() <= spdlog::level::debug),
+        client_(loop_.get(), sockets(settings, runtime::kOutgoingSockets),
+                [this](runtime::CallDone d) { push(std::move(d)); }),
+        server_(loop_.get(), settings.platform.api_address,
+                sockets(settings, runtime::kIncomingSockets),
+                [this](uint64_t id, net::HttpMessage m) {
+                  push(runtime::Request{id, std::move(m.method), std::move(m.target),
+                                        std::move(m.body)});
+                }),
         peers_(
             loop_.get(), settings.platform,
-            [this](std::string bytes) { push(core::PeerMessage{std::move(bytes)}); },
-            [this](std::string label) { push(core::PeerLost{std::move(label)}); }),
-        tick_(loop_.get(), 0, core::Core::kTick, [this] { push(core::Tick{}); }) {
+            [this](std::string bytes) { push(runtime::PeerMessage{std::move(bytes)}); },
+            [this](std::string label) { push(runtime::PeerLost{std::move(label)}); }),
+        tick_(loop_.get(), 0, Controller::kTick, [this] { push(runtime::Tick{}); }) {
     ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* w, int) {
-      static_cast<Service*>(w->data)->drain();
+      static_cast<Process*>(w->data)->drain();
     });
     prepare_.data = this;
     ev_prepare_start(loop_.get(), &prepare_);
   }
-  ~Service() { ev_prepare_stop(loop_.get(), &prepare_); }
-  Service(const Service&) = delete;
-  Service& operator=(const Service&) = delete;
+  ~Process() { ev_prepare_stop(loop_.get(), &prepare_); }
+  Process(const Process&) = delete;
+  Process& operator=(const Process&) = delete;
 
   void run() { ev_run(loop_.get(), 0); }
 
@@ -69,21 +70,21 @@
     return v ^ std::hash<std::string>{}(s.platform.label);
   }
 
-  void push(core::Command c) { queue_.push_back(std::move(c)); }
+  void push(runtime::Command c) { queue_.push_back(std::move(c)); }
 
   // Before each wait: all that has come in goes to the core as one batch.
   void drain() {
     while (!queue_.empty()) {
-      std::vector<core::Command> batch(std::make_move_iterator(queue_.begin()),
-                                       std::make_move_iterator(queue_.end()));
+      std::vector<runtime::Command> batch(std::make_move_iterator(queue_.begin()),
+                                          std::make_move_iterator(queue_.end()));
       queue_.clear();
-      core_.run(batch, read_clocks());
-      core::Effects out = std::move(core_.effects());
-      core_.effects().clear();
+      controller_.run(batch, read_clocks());
+      runtime::Effects out = std::move(controller_.effects());
+      controller_.effects().clear();
       for (const auto& line : out.log) {
-        auto level = line.level == core::LogLine::Level::kError  ? spdlog::level::err
-                     : line.level == core::LogLine::Level::kInfo ? spdlog::level::info
-                                                                 : spdlog::level::debug;
+        auto level = line.level == runtime::LogLine::Level::kError  ? spdlog::level::err
+                     : line.level == runtime::LogLine::Level::kInfo ? spdlog::level::info
+                                                                    : spdlog::level::debug;
         spdlog::log(level, "{}: {}", line.component, line.text);
       }
       // The other controllers first: they are to know of a cancellation before its user does.
@@ -94,8 +95,8 @@
   }
 
   std::unique_ptr<struct ev_loop, LoopDeleter> loop_;
-  core::Core core_;
-  std::deque<core::Command> queue_;
+  Controller controller_;
+  std::deque<runtime::Command> queue_;
   net::HttpClient client_;
   net::HttpServer server_;
   net::PeerNet peers_;
@@ -106,8 +107,8 @@
 }  // namespace
 
 void serve(const Settings& settings) {
-  Service service(settings);
+  Process service(settings);
   service.run();
 }
 
-}  // namespace rooksill
+}  // namespace rooksill::controller
--- a/src/rooksill/controller/process.h
+++ b/src/rooksill/controller/process.h
@@ -3,9 +3,9 @@
 
 #include "rooksill/settings/settings.h"
 
-namespace rooksill {
+namespace rooksill::controller {
 
 // Runs until the process is killed. Throws std::runtime_error if it cannot start.
 void serve(const Settings& settings);
 
-}  // namespace rooksill
+}  // namespace rooksill::controller
--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -1,21 +1,15 @@
-#include "rooksill/cloud/fleet.h"
+#include "rooksill/fleet/fleet.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/core/upgrade.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/membership/upgrade.h"
 #include "rooksill/policy/sizing.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::cloud {
-
-using core::Job;
-using core::JobSpec;
-using core::Machine;
-using core::MachineType;
-using state::Outcome;
+namespace rooksill::fleet {
 
 namespace {
 constexpr double kFailedBoot = 4.0;    // boot times after which it is returned
@@ -28,21 +22,21 @@
 constexpr double kMovedPart = 0.02;    // for each machine there is
 constexpr int kMoveLooks = 48;         // tasks looked at for a move at a time
 constexpr size_t kReleaseBatch = 100;
-constexpr int kHireMost = 50;
+constexpr int kMaxMachinesPerRental = 50;
 constexpr double kRentReports = 0.3;  // between two on-demand rentals of one offer
-constexpr int kHiresAhead = 1;        // requests' worth of one offer that is waited for
+constexpr int kRentalsAhead = 1;      // requests' worth of one offer that is waited for
 constexpr int kMostRefusals = 4;      // after which patience with a refusing cloud grows no more
 constexpr double kCallTimeout = 3;
 }  // namespace
 
-Fleet::Fleet(core::Context& ctx, core::Replica& replica, state::Committer& committer)
+Fleet::Fleet(runtime::Context& ctx, store::Replica& replica, store::Committer& committer)
     : ctx_(ctx),
       replica_(replica),
       committer_(committer),
       limit_(ctx.settings.platform.cloud_rps),
       silent_machines_(ctx, replica) {}
 
-double Fleet::share(const JobSpec& s, const MachineType& t) const {
+double Fleet::share(const model::JobSpec& s, const model::MachineType& t) const {
   double out = 0;
   if (t.cpus > 0) out = std::max(out, s.cpus / t.cpus);
   if (t.memory_gb > 0) out = std::max(out, s.memory_gb / t.memory_gb);
@@ -50,16 +44,16 @@
   return out;
 }
 
-void Fleet::measure(const std::vector<core::TaskEvent>& events) {
+void Fleet::measure(const std::vector<store::TaskEvent>& events) {
   for (const auto& e : events) {
-    const Machine* m = replica_.machine(e.machine);
-    const Job* j = replica_.job(e.job);
+    const model::Machine* m = replica_.machine(e.machine);
+    const model::Job* j = replica_.job(e.job);
     if (m == nullptr || j == nullptr) continue;
     auto type = replica_.types.find(m->type);
     if (type == replica_.types.end()) continue;
     policy::Demand& d = demand_[{m->type, m->spot}];
     const double part = share(j->spec, type->second);
-    if (e.kind == core::TaskEvent::Kind::kFirstPlaced)
+    if (e.kind == store::TaskEvent::Kind::kFirstPlaced)
       d.arrived(part);
     else
       d.finished(part);
@@ -78,7 +72,7 @@
     const auto& load = replica_.load(name);
     auto type = replica_.types.find(m.type);
     if (load.tasks.empty() || type == replica_.types.end()) continue;
-    JobSpec all;
+    model::JobSpec all;
     all.cpus = load.cpus;
     all.gpus = load.gpus;
     all.memory_gb = load.memory;
@@ -95,9 +89,9 @@
 void Fleet::start_term(uint64_t term) {
   active_ = true;
   term_ = term;
-  next_hire_ = 1;
-  hires_.clear();
-  to_deal_.clear();
+  next_rental_ = 1;
+  rentals_.clear();
+  unassigned_.clear();
   to_drop_.clear();
   releasing_.clear();
   release_sent_.clear();
@@ -115,18 +109,18 @@
 void Fleet::stop() { active_ = false; }
 
 bool Fleet::cloud_call(const std::string& method, const std::string& path, const std::string& body,
-                       double timeout_s, core::CallHandler handler) {
+                       double timeout_s, runtime::CallHandler handler) {
   if (!limit_.take(1)) return false;
   const auto term = term_;
-  ctx_.call(core::Target::kCloud, ctx_.settings.platform.cloud_address, method, path, body,
-            timeout_s, [this, term, handler = std::move(handler)](const core::CallDone& d) {
+  ctx_.call(runtime::Target::kCloud, ctx_.settings.platform.cloud_address, method, path, body,
+            timeout_s, [this, term, handler = std::move(handler)](const runtime::CallDone& d) {
               if (active_ && term == term_) handler(d);
             });
   return true;
 }
 
-std::map<Pool, std::vector<const Machine*>> Fleet::pools() const {
-  std::map<Pool, std::vector<const Machine*>> out;
+std::map<Pool, std::vector<const model::Machine*>> Fleet::pools() const {
+  std::map<Pool, std::vector<const model::Machine*>> out;
   for (const auto& [name, m] : replica_.machines) out[{m.type, m.spot}].push_back(&m);
   return out;
 }
@@ -135,29 +129,31 @@
 
 void Fleet::fetch_catalog() {
   if (catalog_busy_ || ctx_.now.steady < next_catalog_) return;
-  catalog_busy_ = cloud_call("GET", "/catalog", "", kCallTimeout, [this](const core::CallDone& d) {
-    catalog_busy_ = false;
-    auto types = d.status == 200 ? parse_catalog(d.body) : std::nullopt;
-    const double report = ctx_.settings.platform.report_s;
-    next_catalog_ = ctx_.now.steady + (types ? 20 * report : report / 3);
-    if (!types) return;
-    std::vector<state::Write> writes;
-    for (const auto& t : *types) {
-      if (t.name.empty() || t.name.find(' ') != std::string::npos || t.name.size() > 100) continue;
-      auto value = core::encode_type(t);
-      auto known = replica_.types.find(t.name);
-      if (known != replica_.types.end() && core::encode_type(known->second) == value) continue;
-      if (writes.size() < ctx_.settings.platform.state_txn_ops)
-        writes.push_back({core::type_key(t.name), std::move(value), 0});
-    }
-    if (writes.empty()) return;
-    bool sent = committer_.commit({{core::kLeaderKey, replica_.leader.stamp}}, std::move(writes),
-                                  [this](const state::TxnResult& r) {
-                                    if (r.outcome != Outcome::kApplied)
-                                      next_catalog_ = ctx_.now.steady + 0.3;
-                                  });
-    if (!sent) next_catalog_ = ctx_.now.steady + 0.3;
-  });
+  catalog_busy_ =
+      cloud_call("GET", "/catalog", "", kCallTimeout, [this](const runtime::CallDone& d) {
+        catalog_busy_ = false;
+        auto types = d.status == 200 ? wire::parse_catalog(d.body) : std::nullopt;
+        const double report = ctx_.settings.platform.report_s;
+        next_catalog_ = ctx_.now.steady + (types ? 20 * report : report / 3);
+        if (!types) return;
+        std::vector<store::Write> writes;
+        for (const auto& t : *types) {
+          if (t.name.empty() || t.name.find(' ') != std::string::npos || t.name.size() > 100)
+            continue;
+          auto value = wire::encode_type(t);
+          auto known = replica_.types.find(t.name);
+          if (known != replica_.types.end() && wire::encode_type(known->second) == value) continue;
+          if (writes.size() < ctx_.settings.platform.state_txn_ops)
+            writes.push_back({wire::type_key(t.name), std::move(value), 0});
+        }
+        if (writes.empty()) return;
+        bool sent = committer_.commit({{wire::kLeaderKey, replica_.leader.revision}},
+                                      std::move(writes), [this](const store::TransactionResult& r) {
+                                        if (r.outcome != store::TransactionOutcome::kApplied)
+                                          next_catalog_ = ctx_.now.steady + 0.3;
+                                      });
+        if (!sent) next_catalog_ = ctx_.now.steady + 0.3;
+      });
 }
 
 // Page by page. A page that the limit or the cloud refuses is asked for again: a list begun anew
@@ -167,10 +163,10 @@
   if (!list_after_.empty()) path = "/hosts?from=" + list_after_ + "&most=500";
   if (list_after_.empty()) listing_.clear();
   const auto& p = ctx_.settings.platform;
-  listing_busy_ = cloud_call("GET", path, "", kCallTimeout, [this](const core::CallDone& d) {
+  listing_busy_ = cloud_call("GET", path, "", kCallTimeout, [this](const runtime::CallDone& d) {
     listing_busy_ = false;
     const auto& settings = ctx_.settings.platform;
-    auto page = d.status == 200 ? parse_list(d.body) : std::nullopt;
+    auto page = d.status == 200 ? wire::parse_list(d.body) : std::nullopt;
     if (!page) {
       next_list_ = ctx_.now.steady + settings.report_s / 2;
       return;
@@ -194,7 +190,7 @@
   std::map<std::string, double> unexpected;  // since when it has been listed
   for (const auto& m : listing_) {
     if (!m.address.empty()) addresses_[m.name] = m.address;
-    if (gone_.count(m.name) != 0 || to_deal_.count(m.name) != 0) continue;
+    if (gone_.count(m.name) != 0 || unassigned_.count(m.name) != 0) continue;
     if (replica_.machine(m.name) != nullptr) {
       if (m.failed) release(m.name, "listed as failed");
       continue;
@@ -209,21 +205,22 @@
       release(m.name, "unexpected and failed");
     } else {
       ctx_.info("fleet", "machine {} was not expected: adopted", m.name);
-      deal({m.name}, {{m.type, m.spot}, m.zone});
+      assign_to_partition({m.name}, {{m.type, m.spot}, m.zone});
     }
   }
   unexpected_ = std::move(unexpected);
 }
 
-void Fleet::sighted(const net::Sighting& s) {
-  if (!active_ || replica_.machine(s.machine) != nullptr || to_deal_.count(s.machine) != 0) return;
+void Fleet::on_unassigned_machine(const wire::UnassignedMachine& s) {
+  if (!active_ || replica_.machine(s.machine) != nullptr || unassigned_.count(s.machine) != 0)
+    return;
   if (gone_.count(s.machine) != 0) return;
-  for (const auto& [name, h] : hires_)
+  for (const auto& [name, h] : rentals_)
     if (h.busy && h.offer.pool == Pool{s.type, s.spot} && h.offer.zone == s.zone)
       return;  // likely ours: the answer names it
   ctx_.info("fleet", "machine {} reports and is in no block: adopted", s.machine);
   addresses_[s.machine] = s.address;
-  deal({s.machine}, {{s.type, s.spot}, s.zone});
+  assign_to_partition({s.machine}, {{s.type, s.spot}, s.zone});
 }
 
 // ---- rentals -------------------------------------------------------------------------------
@@ -236,13 +233,13 @@
 
 int Fleet::held(const Offer& offer) const {
   int n = 0;
-  auto count = [&](const Machine& m) {
+  auto count = [&](const model::Machine& m) {
     if (to_drop_.count(m.name) == 0 && m.type == offer.pool.type && m.spot == offer.pool.spot &&
         m.zone == offer.zone)
       ++n;
   };
   for (const auto& [name, m] : replica_.machines) count(m);
-  for (const auto& [name, m] : to_deal_)
+  for (const auto& [name, m] : unassigned_)
     if (replica_.machine(name) == nullptr) count(m);
   return n;
 }
@@ -261,43 +258,44 @@
 int Fleet::most(const Offer& offer) const {
   auto it = caps_.find(offer);
   // Nothing was refused lately: as many more as one request can ask for.
-  if (it == caps_.end() || it->second.until <= ctx_.now.steady) return held(offer) + kHireMost;
+  if (it == caps_.end() || it->second.until <= ctx_.now.steady)
+    return held(offer) + kMaxMachinesPerRental;
   return it->second.held;
 }
 
-void Fleet::rent(const Offer& offer, int count, const std::string& reason, int block) {
+void Fleet::rent(const Offer& offer, int count, const std::string& reason, int partition) {
   if (count <= 0) return;
   last_rental_[offer] = ctx_.now.steady;
-  Hire h;
+  RentalRequest h;
   h.offer = offer;
-  h.count = std::min(count, kHireMost);
+  h.count = std::min(count, kMaxMachinesPerRental);
   h.reason = reason;
-  h.block = block;
+  h.partition = partition;
   h.asked = ctx_.now.wall;
-  const std::string name = "rk-" + std::to_string(term_) + "-" + std::to_string(next_hire_++);
+  const std::string name = "rk-" + std::to_string(term_) + "-" + std::to_string(next_rental_++);
   ctx_.info("fleet", "rent {} {} {} in {} ({}) as {}", h.count,
             offer.pool.spot ? "spot" : "ordinary", offer.pool.type, offer.zone, reason, name);
-  hires_.emplace(name, std::move(h));
+  rentals_.emplace(name, std::move(h));
 }
 
-void Fleet::send_hires() {
-  for (auto& [name, h] : hires_) {
+void Fleet::send_rentals() {
+  for (auto& [name, h] : rentals_) {
     if (h.busy || ctx_.now.steady < h.next) continue;
     const bool sent = cloud_call(
         "POST", "/hosts",
-        encode_rental(name, h.offer.pool.type, h.offer.zone, h.offer.pool.spot, h.count),
-        kCallTimeout, [this, key = name](const core::CallDone& d) {
-          auto it = hires_.find(key);
-          if (it == hires_.end()) return;
-          Hire& x = it->second;
+        wire::encode_rental(name, h.offer.pool.type, h.offer.zone, h.offer.pool.spot, h.count),
+        kCallTimeout, [this, key = name](const runtime::CallDone& d) {
+          auto it = rentals_.find(key);
+          if (it == rentals_.end()) return;
+          RentalRequest& x = it->second;
           x.busy = false;
           const double report = ctx_.settings.platform.report_s;
           if (d.status == 200) {
-            if (auto names = parse_rented(d.body)) {
-              deal(*names, x.offer, x.block);
+            if (auto names = wire::parse_rented(d.body)) {
+              assign_to_partition(*names, x.offer, x.partition);
               if (!names->empty()) caps_.erase(x.offer);
               if (static_cast<int>(names->size()) < x.count) refused(x.offer);
-              hires_.erase(it);
+              rentals_.erase(it);
               return;
             }
           }
@@ -307,38 +305,38 @@
             ctx_.info("fleet", "no capacity: {} {} in {}", x.offer.pool.spot ? "spot" : "ordinary",
                       x.offer.pool.type, x.offer.zone);
             refused(x.offer);
-            hires_.erase(it);
+            rentals_.erase(it);
             return;
           }
           // Refused or unknown: the same name asks for the same machines, so it is asked again.
           x.next = ctx_.now.steady + report / 3;
-          if (++x.tries > 20) hires_.erase(it);  // late machines will be adopted
+          if (++x.tries > 20) rentals_.erase(it);  // late machines will be adopted
         });
     if (!sent) return;
     h.busy = true;
   }
 }
 
-// How many machines each block has: of this kind in this zone, and of all.
-void Fleet::count_blocks(const Offer& offer, std::vector<std::pair<int, int>>& load) const {
+// How many machines each partition has: of this kind in this zone, and of all.
+void Fleet::count_by_partition(const Offer& offer, std::vector<std::pair<int, int>>& load) const {
   load.assign(replica_.leases.size(), {});
-  auto count = [&](const Machine& m) {
-    auto& l = load[static_cast<size_t>(m.block)];
+  auto count = [&](const model::Machine& m) {
+    auto& l = load[static_cast<size_t>(m.partition)];
     if (m.type == offer.pool.type && m.spot == offer.pool.spot && m.zone == offer.zone) ++l.first;
     ++l.second;
   };
   for (const auto& [n, m] : replica_.machines) count(m);
-  for (const auto& [n, m] : to_deal_)
+  for (const auto& [n, m] : unassigned_)
     if (replica_.machine(n) == nullptr) count(m);
 }
 
-// The first page of a block's list that takes another machine.
-int Fleet::page_with_room(int block) const {
-  const auto& pages = replica_.pages[static_cast<size_t>(block)];
+// The first page of a partition's list that takes another machine.
+int Fleet::page_with_room(int partition) const {
+  const auto& pages = replica_.pages[static_cast<size_t>(partition)];
   std::vector<size_t> used(pages.size());
   for (size_t p = 0; p < pages.size(); ++p) used[p] = pages[p].names.size();
-  for (const auto& [n, m] : to_deal_) {
-    if (m.block != block || replica_.machine(n) != nullptr) continue;
+  for (const auto& [n, m] : unassigned_) {
+    if (m.partition != partition || replica_.machine(n) != nullptr) continue;
     if (used.size() <= static_cast<size_t>(m.page)) used.resize(static_cast<size_t>(m.page) + 1);
     ++used[static_cast<size_t>(m.page)];
   }
@@ -347,65 +345,67 @@
   return static_cast<int>(free - used.begin());
 }
 
-void Fleet::deal(const std::vector<std::string>& names, const Offer& offer, int block) {
+void Fleet::assign_to_partition(const std::vector<std::string>& names, const Offer& offer,
+                                int partition) {
   std::vector<std::pair<int, int>> load;
-  if (block < 0) count_blocks(offer, load);
+  if (partition < 0) count_by_partition(offer, load);
   for (const auto& name : names) {
-    if (name.empty() || name.size() > core::kMaxName || to_deal_.count(name) != 0) continue;
-    Machine m;
+    if (name.empty() || name.size() > model::kMaxName || unassigned_.count(name) != 0) continue;
+    model::Machine m;
     m.name = name;
     m.type = offer.pool.type;
     m.zone = offer.zone;
     m.spot = offer.pool.spot;
-    m.block = block;
-    if (block < 0) {
-      // Each block spans the zones: the one with the fewest of this kind here, then the smallest.
+    m.partition = partition;
+    if (partition < 0) {
+      // Each partition spans the zones: the one with the fewest of this kind here, then the
+      // smallest.
       const auto least = std::min_element(load.begin(), load.end());
-      m.block = static_cast<int>(least - load.begin());
+      m.partition = static_cast<int>(least - load.begin());
       ++least->first;
       ++least->second;
     }
-    m.page = page_with_room(m.block);
+    m.page = page_with_room(m.partition);
     m.rented = std::floor(ctx_.now.wall);
-    to_deal_.emplace(name, std::move(m));
+    unassigned_.emplace(name, std::move(m));
   }
 }
 
 void Fleet::write_machines() {
   std::set<std::pair<int, int>> changed;
-  for (const auto& [n, m] : to_deal_)
-    if (replica_.machine(n) == nullptr) changed.insert({m.block, m.page});
+  for (const auto& [n, m] : unassigned_)
+    if (replica_.machine(n) == nullptr) changed.insert({m.partition, m.page});
   for (const auto& n : to_drop_)
-    if (const Machine* m = replica_.machine(n)) changed.insert({m->block, m->page});
+    if (const model::Machine* m = replica_.machine(n)) changed.insert({m->partition, m->page});
   // Pages from before a lowered limit are split as soon as every controller knows of splits: the
-  // state service will not take another change of them one day.
-  if (core::Upgrade::complete(replica_))
+  // store will not take another change of them one day.
+  if (membership::Upgrade::complete(replica_))
     for (size_t b = 0; b < replica_.pages.size(); ++b)
       for (size_t p = 0; p < replica_.pages[b].size(); ++p)
         if (replica_.pages[b][p].names.size() > replica_.machines_per_page())
           changed.insert({static_cast<int>(b), static_cast<int>(p)});
   for (const auto& at : changed)
     if (writing_.count(at) == 0) write_page(at);
-  std::erase_if(to_deal_, [&](const auto& d) { return replica_.machine(d.first) != nullptr; });
+  std::erase_if(unassigned_, [&](const auto& d) { return replica_.machine(d.first) != nullptr; });
   std::erase_if(to_drop_, [&](const auto& n) { return replica_.machine(n) == nullptr; });
 }
 
 // A page's machines as they are to be, with those dealt to it as far as the value takes them: what
 // it does not take goes to another page.
-std::map<std::string, Machine> Fleet::planned_page(const PageId& at) {
+std::map<std::string, model::Machine> Fleet::planned_page(const PageId& at) {
   const auto [b, page] = at;
   const auto& pages = replica_.pages[static_cast<size_t>(b)];
-  std::map<std::string, Machine> listed;
+  std::map<std::string, model::Machine> listed;
   if (static_cast<size_t>(page) < pages.size())
     for (const auto& n : pages[static_cast<size_t>(page)].names)
       listed.emplace(n, *replica_.machine(n));
   for (const auto& n : to_drop_) listed.erase(n);
   const size_t most_bytes = ctx_.settings.platform.state_value_bytes;
-  for (auto& [n, m] : to_deal_) {
-    if (m.block != b || m.page != page || listed.count(n) != 0) continue;
+  for (auto& [n, m] : unassigned_) {
+    if (m.partition != b || m.page != page || listed.count(n) != 0) continue;
     auto with = listed;
     with.emplace(n, m);
-    if (core::encode_machines(with).dump().size() <= most_bytes)
+    if (wire::encode_machines(with).dump().size() <= most_bytes)
       listed = std::move(with);
     else
       m.page = static_cast<int>(pages.size());
@@ -416,39 +416,41 @@
 void Fleet::write_page(const PageId& at) {
   const auto [b, page] = at;
   const auto& pages = replica_.pages[static_cast<size_t>(b)];
-  std::map<std::string, Machine> listed = planned_page(at);
+  std::map<std::string, model::Machine> listed = planned_page(at);
   std::vector<PageId> written{at};
-  std::vector<std::string> keys{core::machines_key(b, page)};
+  std::vector<std::string> keys{wire::machines_key(b, page)};
   const bool known = static_cast<size_t>(page) < pages.size();
-  std::vector<state::Guard> guards{{core::kLeaderKey, replica_.leader.stamp},
-                                   {keys[0], known ? pages[static_cast<size_t>(page)].stamp : 0}};
-  std::vector<state::Write> writes;
+  std::vector<store::Precondition> preconditions{
+      {wire::kLeaderKey, replica_.leader.revision},
+      {keys[0], known ? pages[static_cast<size_t>(page)].revision : 0}};
+  std::vector<store::Write> writes;
   // The new pages come first: who applies the changes in order misses no machine in between.
   const size_t most = replica_.machines_per_page();
   int fresh = static_cast<int>(pages.size());
-  while (listed.size() > most && core::Upgrade::complete(replica_)) {
-    std::map<std::string, Machine> moved;
+  while (listed.size() > most && membership::Upgrade::complete(replica_)) {
+    std::map<std::string, model::Machine> moved;
     while (listed.size() > most && moved.size() < most)
       moved.insert(listed.extract(std::prev(listed.end())));
     while (writing_.count({b, fresh}) != 0) ++fresh;
     written.emplace_back(b, fresh);
-    keys.push_back(core::machines_key(b, fresh++));
-    guards.push_back({keys.back(), 0});
-    writes.push_back({keys.back(), core::encode_machines(moved), 0});
+    keys.push_back(wire::machines_key(b, fresh++));
+    preconditions.push_back({keys.back(), 0});
+    writes.push_back({keys.back(), wire::encode_machines(moved), 0});
   }
   if (written.size() > 1)
     ctx_.info("fleet", "page {} of block {} is split into {}", page, b, written.size());
-  writes.push_back({keys[0], core::encode_machines(listed), 0});
-  bool sent = committer_.commit(
-      guards, std::move(writes), [this, written, keys](const state::TxnResult& r) {
-        auto free = [this, written] {
-          for (const auto& w : written) writing_.erase(w);
-        };
-        if (r.outcome == Outcome::kConflict || r.outcome == Outcome::kUnknown)
-          committer_.refresh(keys, free);
-        else
-          free();
-      });
+  writes.push_back({keys[0], wire::encode_machines(listed), 0});
+  bool sent = committer_.commit(preconditions, std::move(writes),
+                                [this, written, keys](const store::TransactionResult& r) {
+                                  auto free = [this, written] {
+                                    for (const auto& w : written) writing_.erase(w);
+                                  };
+                                  if (r.outcome == store::TransactionOutcome::kConflict ||
+                                      r.outcome == store::TransactionOutcome::kUnknown)
+                                    committer_.refresh(keys, free);
+                                  else
+                                    free();
+                                });
   if (sent) writing_.insert(written.begin(), written.end());
 }
 
@@ -463,14 +465,14 @@
   for (const auto& [name, reason] : releasing_)
     if (release_sent_.count(name) == 0 && names.size() < kReleaseBatch) names.push_back(name);
   if (names.empty()) return;
-  bool sent = cloud_call("POST", "/hosts/release", encode_release(names), kCallTimeout,
-                         [this, names](const core::CallDone& d) {
+  bool sent = cloud_call("POST", "/hosts/release", wire::encode_release(names), kCallTimeout,
+                         [this, names](const runtime::CallDone& d) {
                            for (const auto& n : names) {
                              release_sent_.erase(n);
                              if (d.status != 200) continue;
                              // The answer is the proof that the machine and its tasks are gone.
                              releasing_.erase(n);
-                             to_deal_.erase(n);
+                             unassigned_.erase(n);
                              drain_.erase(n);
                              gone_[n] = ctx_.now.steady;
                              to_drop_.insert(n);
@@ -479,11 +481,11 @@
   if (sent) release_sent_.insert(names.begin(), names.end());
 }
 
-void Fleet::judge(const net::ViewMap& views, const std::set<int>& suspect_blocks) {
+void Fleet::judge(const wire::MachineStatusMap& statuses, const std::set<int>& suspect_partitions) {
   for (const auto& [name, m] : replica_.machines) {
     if (leaving(name)) continue;
-    auto it = views.find(name);
-    if (it == views.end()) continue;  // its holder says nothing: nothing is known
+    auto it = statuses.find(name);
+    if (it == statuses.end()) continue;  // its owner says nothing: nothing is known
     const auto& v = it->second;
     if (!v.up && v.tasks == 0) {
       auto type = replica_.types.find(m.type);
@@ -494,11 +496,11 @@
         continue;
       }
     }
-    if (v.silent && suspect_blocks.count(m.block) == 0 && silent_machines_.may_release(m))
+    if (v.silent && suspect_partitions.count(m.partition) == 0 && silent_machines_.may_release(m))
       release(name, "silent");
     else if (v.bad)
       release(name, "fails every task");
-    else if (v.warned && v.tasks == 0)
+    else if (v.termination_notice && v.tasks == 0)
       release(name, "to be taken, and empty");
     else if (v.draining && drain_.count(name) != 0 && v.tasks == 0)
       release(name, "idle");
@@ -510,7 +512,7 @@
 // The rule sizes a type as a whole, while a spread job needs room in a second zone (a few replicas'
 // worth in each), and the replicas of a lost machine need room at once (what the fullest machine
 // has, in all zones together). Lower work there makes room for replicas.
-void Fleet::sum_zones(const net::ViewMap& views) {
+void Fleet::sum_zones(const wire::MachineStatusMap& statuses) {
   zones_.clear();
   for (const auto& [name, t] : replica_.types)
     for (const auto& z : t.zones) zones_[z];
@@ -524,21 +526,21 @@
     replicas[m.zone] += load.replica_cpus;
     if (load.replica_cpus > 0)
       for (const auto& ref : load.tasks) {
-        const JobSpec& s = replica_.job(ref.job)->spec;
-        if (s.shape != core::Shape::kService) continue;
+        const model::JobSpec& s = replica_.job(ref.job)->spec;
+        if (s.shape != model::Shape::kService) continue;
         double& most = largest[m.zone];
         most = std::max(most, s.cpus);
       }
     if (drain_.count(name) != 0 || leaving(name)) continue;
-    auto v = views.find(name);
+    auto v = statuses.find(name);
     auto type = replica_.types.find(m.type);
-    if (v == views.end() || type == replica_.types.end() || v->second.silent || v->second.bad)
+    if (v == statuses.end() || type == replica_.types.end() || v->second.silent || v->second.bad)
       continue;
     const double room = type->second.cpus - load.replica_cpus;
     zones_[m.zone].room += room;
     all.room += room;
   }
-  for (const auto& [name, h] : hires_) {
+  for (const auto& [name, h] : rentals_) {
     auto type = replica_.types.find(h.offer.pool.type);
     if (h.offer.pool.spot || type == replica_.types.end()) continue;
     zones_[h.offer.zone].room += h.count * type->second.cpus;
@@ -551,7 +553,7 @@
   all.floor = kFloorMachines * fullest;
 }
 
-bool Fleet::zone_can_spare(const Machine& m) const {
+bool Fleet::zone_can_spare(const model::Machine& m) const {
   auto type = replica_.types.find(m.type);
   if (type == replica_.types.end()) return false;
   // The machine's own room goes, and its replicas take room elsewhere: all of its cores.
@@ -568,7 +570,7 @@
     if (z.floor <= 0 || z.room >= z.floor) continue;
     // A machine that was to be given back is kept first.
     auto kept = std::find_if(drain_.begin(), drain_.end(), [&](const std::string& name) {
-      const Machine* m = replica_.machine(name);
+      const model::Machine* m = replica_.machine(name);
       return m != nullptr && !m->spot && (zone.empty() || m->zone == zone) &&
              releasing_.count(name) == 0;
     });
@@ -597,36 +599,37 @@
   }
 }
 
-void Fleet::run_policy(const net::ViewMap& views) {
+void Fleet::run_policy(const wire::MachineStatusMap& statuses) {
   // What a late start costs follows from how rarely the users allow one.
   double miss = 1;
   for (const auto& o : ctx_.settings.platform.objectives)
     if (o.kind == "wait" && o.share < 1) miss = std::max(miss, 1 / (1 - o.share));
   const auto by_pool = pools();
-  static const std::vector<const Machine*> kNone;
+  static const std::vector<const model::Machine*> kNone;
   for (const auto& [name, type] : replica_.types)
     for (bool spot : {false, true}) {
       const Pool pool{name, spot};
       auto machines = by_pool.find(pool);
-      size_pool(pool, type, machines == by_pool.end() ? kNone : machines->second, views, miss);
+      size_pool(pool, type, machines == by_pool.end() ? kNone : machines->second, statuses, miss);
     }
 }
 
-void Fleet::size_pool(const Pool& pool, const MachineType& type,
-                      const std::vector<const Machine*>& machines, const net::ViewMap& views,
-                      double miss) {
+void Fleet::size_pool(const Pool& pool, const model::MachineType& type,
+                      const std::vector<const model::Machine*>& machines,
+                      const wire::MachineStatusMap& statuses, double miss) {
   const auto& op = ctx_.settings.operators;
   policy::Demand& d = demand_[pool];
   policy::SizingInput in;
-  std::vector<std::pair<double, const Machine*>> given_back;
+  std::vector<std::pair<double, const model::Machine*>> given_back;
   std::map<std::string, int> per_zone;
-  for (const Machine* m : machines) {
+  for (const model::Machine* m : machines) {
     ++per_zone[m->zone];
     if (leaving(m->name) || drain_.count(m->name) != 0) continue;
-    auto v = views.find(m->name);
-    if (v != views.end() && (v->second.bad || v->second.silent || v->second.warned)) continue;
+    auto v = statuses.find(m->name);
+    if (v != statuses.end() && (v->second.bad || v->second.silent || v->second.termination_notice))
+      continue;
     ++in.x;
-    if (v == views.end()) continue;
+    if (v == statuses.end()) continue;
     in.y += v->second.load;
     if (v->second.up && ctx_.now.wall - m->rented > kMinimumCharge)
       given_back.emplace_back(
@@ -656,7 +659,7 @@
     for (int i = 0; i < out.u; ++i) {
       std::string best;
       for (const auto& z : type.zones)
-        if (open({pool, z}) && per_zone[z] < at_most[z] && wanted[z] < kHireMost &&
+        if (open({pool, z}) && per_zone[z] < at_most[z] && wanted[z] < kMaxMachinesPerRental &&
             (best.empty() || per_zone[z] < per_zone[best]))
           best = z;
       if (best.empty()) break;
@@ -686,18 +689,19 @@
 
 // Where a task of a machine that is being emptied could go at once: its image is there already, so
 // that a move costs a few messages' time.
-bool Fleet::can_move(const Job& job, const Machine& from, const net::ViewMap& views) const {
-  const JobSpec& s = job.spec;
+bool Fleet::can_move(const model::Job& job, const model::Machine& from,
+                     const wire::MachineStatusMap& statuses) const {
+  const model::JobSpec& s = job.spec;
   std::map<std::string, uint32_t> zones;
   if (s.spread) {
     zones = replica_.tasks_by_zone(job);
     --zones[from.zone];
   }
-  for (const auto& [target, v] : views) {
+  for (const auto& [target, v] : statuses) {
     if (!v.up || v.draining || s.cpus > v.cpus_free || s.memory_gb > v.memory_free ||
         s.gpus > v.gpus_free)
       continue;
-    const Machine* to = replica_.machine(target);
+    const model::Machine* to = replica_.machine(target);
     if (to == nullptr || target == from.name || drain_.count(target) != 0) continue;
     if (to->spot && !s.spot) continue;
     if (!s.zone.empty() && to->zone != s.zone) continue;
@@ -711,7 +715,7 @@
 
 // Moves replicas a few at a time, so that hardly anybody notices; tasks that save their progress
 // likewise. Tasks that would lose their work are left to finish. Machines take turns.
-void Fleet::plan_moves(const net::ViewMap& views) {
+void Fleet::plan_moves(const wire::MachineStatusMap& statuses) {
   if (drain_.empty()) return;
   const auto part = static_cast<int>(kMovedPart * static_cast<double>(replica_.machines.size()));
   int replicas = 1 + part, tasks = kTasksMoved + part, looks = kMoveLooks;
@@ -719,62 +723,65 @@
   for (size_t i = 0; i < drain_.size() && looks > 0 && replicas + tasks > 0; ++i, ++at) {
     if (at == drain_.end()) at = drain_.begin();
     last_moved_ = *at;
-    const Machine* from = replica_.machine(*at);
+    const model::Machine* from = replica_.machine(*at);
     if (from == nullptr) continue;
     for (const auto& ref : replica_.placed_on(*at)) {
-      const Job* job = replica_.job(ref.job);
-      const JobSpec& s = job->spec;
+      const model::Job* job = replica_.job(ref.job);
+      const model::JobSpec& s = job->spec;
       // A gang's task would be lost to the others; gangs are left to finish.
-      if (job->over() || s.shape == core::Shape::kGang) continue;
-      const bool service = s.shape == core::Shape::kService;
+      if (job->over() || s.shape == model::Shape::kGang) continue;
+      const bool service = s.shape == model::Shape::kService;
       int& left = service ? replicas : tasks;
       if (left <= 0 || looks <= 0 || (service ? job->placed != s.tasks : s.checkpoint_s <= 0))
         continue;
       --looks;
-      if (!can_move(*job, *from, views)) continue;
-      ctx_.debug("fleet", "task {} is moved off {}", core::task_name(ref), *at);
+      if (!can_move(*job, *from, statuses)) continue;
+      ctx_.debug("fleet", "task {} is moved off {}", wire::task_name(ref), *at);
       moves_.push_back({ref.job, ref.index, replica_.task(ref)->attempt});
       --left;
     }
   }
 }
 
-std::vector<Fleet::Space> Fleet::spaces(const net::ViewMap& views) const {
+std::vector<Fleet::Space> Fleet::spaces(const wire::MachineStatusMap& statuses) const {
   std::vector<Space> out;
-  auto whole = [&](const MachineType& t, const std::string& zone, bool spot, int block) {
-    out.push_back({&t, zone, spot, t.cpus, t.gpus, t.memory_gb, block});
+  auto whole = [&](const model::MachineType& t, const std::string& zone, bool spot, int partition) {
+    out.push_back({&t, zone, spot, t.cpus, t.gpus, t.memory_gb, partition});
   };
   for (const auto& [name, m] : replica_.machines) {
     auto type = replica_.types.find(m.type);
     if (type == replica_.types.end() || leaving(name) || drain_.count(name) != 0) continue;
-    auto v = views.find(name);
+    auto v = statuses.find(name);
     const auto& t = type->second;
-    if (v != views.end() && v->second.up) {
+    if (v != statuses.end() && v->second.up) {
       if (v->second.cpus_free > 0)
         out.push_back({&t, m.zone, m.spot, v->second.cpus_free, v->second.gpus_free,
-                       v->second.memory_free, m.block});
-    } else if (ctx_.now.wall - m.rented < core::kLateBoot * t.boot_s) {
-      whole(t, m.zone, m.spot, m.block);
+                       v->second.memory_free, m.partition});
+    } else if (ctx_.now.wall - m.rented < model::kLateBoot * t.boot_s) {
+      whole(t, m.zone, m.spot, m.partition);
     }
   }
-  for (const auto& [name, m] : to_deal_) {
+  for (const auto& [name, m] : unassigned_) {
     auto type = replica_.types.find(m.type);
     if (type != replica_.types.end() && replica_.machine(name) == nullptr)
-      whole(type->second, m.zone, m.spot, m.block);
+      whole(type->second, m.zone, m.spot, m.partition);
   }
-  for (const auto& [name, h] : hires_) {
+  for (const auto& [name, h] : rentals_) {
     auto type = replica_.types.find(h.offer.pool.type);
     if (type == replica_.types.end()) continue;
-    for (int i = 0; i < h.count; ++i) whole(type->second, h.offer.zone, h.offer.pool.spot, h.block);
+    for (int i = 0; i < h.count; ++i)
+      whole(type->second, h.offer.zone, h.offer.pool.spot, h.partition);
   }
   return out;
 }
 
-// The block, and zone, that has room for all of a gang's tasks, or the most of it where more can be
-// rented. Room for a part of them in each of several blocks is of no use: one holder places all.
-Fleet::GangHome Fleet::gang_home(const JobSpec& s, const std::vector<Space>& rooms,
-                                 int only_block) const {
-  std::map<std::pair<int, std::string>, double> tasks;  // by block and zone
+// The partition, and zone, that has room for all of a gang's tasks, or the most of it where more
+// can be rented. Room for a part of them in each of several partitions is of no use: one owner
+// places all.
+Fleet::GangTarget Fleet::choose_gang_target(const model::JobSpec& s,
+                                            const std::vector<Space>& rooms,
+                                            int only_partition) const {
+  std::map<std::pair<int, std::string>, double> tasks;  // by partition and zone
   for (size_t b = 0; b < replica_.leases.size(); ++b)
     for (const auto& [name, type] : replica_.types) {
       if (!s.allows_type(name)) continue;
@@ -783,26 +790,27 @@
           tasks[{static_cast<int>(b), s.one_zone ? zone : ""}];
     }
   for (const auto& r : rooms) {
-    if (r.block < 0 || (r.spot && !s.spot) || !s.allows_type(r.type->name)) continue;
+    if (r.partition < 0 || (r.spot && !s.spot) || !s.allows_type(r.type->name)) continue;
     const double n = std::min<double>(s.tasks, s.tasks_in(r.cpus, r.gpus, r.memory));
-    if (n >= 1) tasks[{r.block, s.one_zone ? r.zone : ""}] += n;
+    if (n >= 1) tasks[{r.partition, s.one_zone ? r.zone : ""}] += n;
   }
-  GangHome best;
+  GangTarget best;
   double most = -1;
   for (const auto& [at, n] : tasks) {
-    const auto& [block, zone] = at;
-    if (only_block >= 0 && block != only_block) continue;
+    const auto& [partition, zone] = at;
+    if (only_partition >= 0 && partition != only_partition) continue;
     if (s.one_zone && !s.zone.empty() && zone != s.zone) continue;
     if (n <= most) continue;
     most = n;
-    best = {block, zone};
+    best = {partition, zone};
   }
   return best;
 }
 
-void Fleet::rent_for_waiting(const net::ViewMap& views, const std::vector<Waiting>& waiting) {
+void Fleet::rent_for_waiting(const wire::MachineStatusMap& statuses,
+                             const std::vector<Waiting>& waiting) {
   if (waiting.empty()) return;
-  std::vector<Space> rooms = spaces(views);
+  std::vector<Space> rooms = spaces(statuses);
   double least = std::numeric_limits<double>::infinity();
   for (const auto& w : waiting) least = std::min(least, w.job->spec.cpus);
   std::erase_if(rooms, [&](const Space& r) { return r.cpus + 1e-9 < least; });
@@ -813,24 +821,24 @@
   std::map<bool, double> left;
   for (const auto& w : waiting) left[w.job->spec.spot] += w.count;
   for (const auto& w : waiting) {
-    const JobSpec& s = w.job->spec;
+    const model::JobSpec& s = w.job->spec;
     std::map<std::string, uint32_t> zones;
     std::string only_zone = s.zone;
     if (s.spread || s.one_zone)
-      for (const auto& c : w.job->chunks)
+      for (const auto& c : w.job->shards)
         for (const auto& t : c.tasks)
-          if (const Machine* m = t.machine.empty() ? nullptr : replica_.machine(t.machine)) {
+          if (const model::Machine* m = t.machine.empty() ? nullptr : replica_.machine(t.machine)) {
             ++zones[m->zone];
             if (s.one_zone) only_zone = m->zone;
           }
-    // A limit too small to be divided lies with one block: only room there is of use.
-    int home = placement::only_home(ctx_.settings, replica_, s.team);
-    if (s.shape == core::Shape::kGang) {
-      const GangHome gang = gang_home(s, rooms, home);
-      home = gang.block;
+    // A limit too small to be divided lies with one partition: only room there is of use.
+    int home = quota::sole_partition(ctx_.settings, replica_, s.team);
+    if (s.shape == model::Shape::kGang) {
+      const GangTarget gang = choose_gang_target(s, rooms, home);
+      home = gang.partition;
       if (s.one_zone) only_zone = gang.zone;
     }
-    auto in_block = [&](int block) { return home < 0 || block == home; };
+    auto in_partition = [&](int partition) { return home < 0 || partition == home; };
     // How many more tasks a zone may take.
     auto zone_left = [&](const std::string& zone) -> uint32_t {
       if (!only_zone.empty() && zone != only_zone) return 0;
@@ -841,7 +849,7 @@
     uint32_t count = w.count;
     // As many tasks as a space takes, all at once: they are alike.
     auto fill = [&](Space& r) {
-      if ((r.spot && !s.spot) || !in_block(r.block) || !s.allows_type(r.type->name)) return;
+      if ((r.spot && !s.spot) || !in_partition(r.partition) || !s.allows_type(r.type->name)) return;
       const double n = std::min<double>(std::min(count, zone_left(r.zone)),
                                         s.tasks_in(r.cpus, r.gpus, r.memory));
       if (n < 1) return;
@@ -859,10 +867,10 @@
     }
     // A machine that was to be given back is kept instead.
     for (auto d = drain_.begin(); d != drain_.end() && count > 0;) {
-      const Machine* m = replica_.machine(*d);
-      auto v = views.find(*d);
+      const model::Machine* m = replica_.machine(*d);
+      auto v = statuses.find(*d);
       auto type = m != nullptr ? replica_.types.find(m->type) : replica_.types.end();
-      if (v == views.end() || !v->second.up || releasing_.count(*d) != 0 ||
+      if (v == statuses.end() || !v->second.up || releasing_.count(*d) != 0 ||
           type == replica_.types.end() || v->second.load + share(s, type->second) > 1) {
         ++d;
         continue;
@@ -874,7 +882,7 @@
                  type->second.cpus * rest,
                  type->second.gpus * rest,
                  type->second.memory_gb * rest,
-                 m->block};
+                 m->partition};
       const uint32_t before = count;
       fill(kept);
       if (count == before) {
@@ -888,7 +896,7 @@
     while (count > 0) {
       // The cheapest way to hold what still waits of this job.
       Offer best{};
-      const MachineType* best_type = nullptr;
+      const model::MachineType* best_type = nullptr;
       double best_cost = std::numeric_limits<double>::infinity();
       for (const auto& [name, t] : replica_.types) {
         if (!s.allows_type(name) || s.cpus > t.cpus || s.gpus > t.gpus || s.memory_gb > t.memory_gb)
@@ -897,7 +905,8 @@
           if (spot && !s.spot) continue;
           for (const auto& z : t.zones) {
             const Offer offer{{name, spot}, z};
-            if (zone_left(z) == 0 || !open(offer) || wanted[offer] >= kHiresAhead * kHireMost)
+            if (zone_left(z) == 0 || !open(offer) ||
+                wanted[offer] >= kRentalsAhead * kMaxMachinesPerRental)
               continue;
             const double slots = std::max(1.0, std::floor(1 / std::max(1e-6, share(s, t))));
             const double cost = (spot ? t.spot_price : t.price) /
@@ -934,37 +943,37 @@
   }
 }
 
-void Fleet::tick(const net::ViewMap& views, const std::vector<Waiting>& waiting,
-                 const std::set<int>& suspect_blocks, const UnreachableZones& unreachable) {
+void Fleet::tick(const wire::MachineStatusMap& statuses, const std::vector<Waiting>& waiting,
+                 const std::set<int>& suspect_partitions, const UnreachableZones& unreachable) {
   if (!active_) return;
   const double now = ctx_.now.steady;
   limit_.refill(now);
   std::erase_if(gone_, [&](const auto& g) {
     return now - g.second > 4 * ctx_.settings.platform.cloud_list_lag_s + 30;
   });
-  silent_machines_.observe(views, unreachable);
-  judge(views, suspect_blocks);
+  silent_machines_.observe(statuses, unreachable);
+  judge(statuses, suspect_partitions);
   send_releases();
   fetch_catalog();
-  send_hires();
+  send_rentals();
   if (!listing_busy_ && now >= next_list_) fetch_list();
   if (now >= next_on_demand_ && !replica_.types.empty()) {
     next_on_demand_ = now + ctx_.settings.platform.report_s / 3;
-    rent_for_waiting(views, waiting);
-    send_hires();
+    rent_for_waiting(statuses, waiting);
+    send_rentals();
   }
   if (now >= next_move_) {
     next_move_ = now + kMoveReports * ctx_.settings.platform.report_s;
-    plan_moves(views);
+    plan_moves(statuses);
   }
   if (now >= next_period_ && list_seen_) {
     next_period_ = now + ctx_.settings.operators.period_reports * ctx_.settings.platform.report_s;
-    sum_zones(views);
-    run_policy(views);
+    sum_zones(statuses);
+    run_policy(statuses);
     keep_zone_floors();
-    send_hires();
+    send_rentals();
   }
   write_machines();
 }
 
-}  // namespace rooksill::cloud
+}  // namespace rooksill::fleet
--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/silent_machines.cc
@@ -1,13 +1,9 @@
-#include "rooksill/cloud/silent_machines.h"
+#include "rooksill/fleet/silent_machines.h"
 
 #include <algorithm>
 #include <numeric>
 
-namespace rooksill::cloud {
-
-using core::Job;
-using core::JobSpec;
-using core::Machine;
+namespace rooksill::fleet {
 
 namespace {
 constexpr double kSilentPauseReports = 1.5;  // between releases of silent machines with replicas
@@ -17,14 +13,15 @@
 constexpr int kZoneLeast = 4;     // machines in a zone below which their silence says nothing of it
 }  // namespace
 
-void SilentMachines::observe(const net::ViewMap& views, const UnreachableZones& unreachable) {
-  unreachable_to_holder_ = unreachable.to_holder;
+void SilentMachines::observe(const wire::MachineStatusMap& statuses,
+                             const UnreachableZones& unreachable) {
+  unreachable_to_owner_ = unreachable.to_owner;
   std::erase_if(silent_since_, [&](const auto& s) {
-    auto v = views.find(s.first);
-    return v == views.end() || !v->second.silent;
+    auto v = statuses.find(s.first);
+    return v == statuses.end() || !v->second.silent;
   });
-  judge_zones(views, unreachable.to_most);
-  sum_room(views);
+  judge_zones(statuses, unreachable.to_most);
+  sum_room(statuses);
 }
 
 bool SilentMachines::cut_off(const std::string& zone) const {
@@ -32,18 +29,18 @@
   return it != cut_off_until_.end() && it->second > ctx_.now.steady;
 }
 
-// A zone that is cut off: its holders say so, or most of its machines are silent. What is rented
+// A zone that is cut off: its owners say so, or most of its machines are silent. What is rented
 // there would not be heard of either, and is rented elsewhere. Where no machine is left to show
 // that the zone is back, a rental does, now and then.
-void SilentMachines::judge_zones(const net::ViewMap& views,
+void SilentMachines::judge_zones(const wire::MachineStatusMap& statuses,
                                  const std::set<std::string>& unreachable) {
   std::map<std::string, std::pair<int, int>> seen;  // silent or late, of all
   for (const auto& [name, m] : replica_.machines) {
-    auto v = views.find(name);
+    auto v = statuses.find(name);
     auto type = replica_.types.find(m.type);
-    if (v == views.end() || type == replica_.types.end()) continue;
+    if (v == statuses.end() || type == replica_.types.end()) continue;
     const double age = ctx_.now.wall - m.rented;
-    if (!v->second.up && age < core::kLateBoot * type->second.boot_s) continue;
+    if (!v->second.up && age < model::kLateBoot * type->second.boot_s) continue;
     auto& [silent, all] = seen[m.zone];
     ++all;
     if (v->second.silent || !v->second.up) ++silent;
@@ -67,12 +64,12 @@
   }
 }
 
-void SilentMachines::sum_room(const net::ViewMap& views) {
+void SilentMachines::sum_room(const wire::MachineStatusMap& statuses) {
   if (ctx_.now.steady < next_room_) return;
   next_room_ = ctx_.now.steady + ctx_.settings.platform.report_s;
   room_elsewhere_ = 0;
   lower_elsewhere_.fill(0);
-  for (const auto& [name, v] : views) {
+  for (const auto& [name, v] : statuses) {
     if (replica_.machine(name) == nullptr || !v.up || v.silent) continue;
     room_elsewhere_ += v.cpus_free;
     for (size_t k = 0; k < lower_elsewhere_.size(); ++k)
@@ -80,11 +77,11 @@
   }
 }
 
-bool SilentMachines::may_release(const Machine& machine) {
+bool SilentMachines::may_release(const model::Machine& machine) {
   const double now = ctx_.now.steady;
   const double silent_for = now - silent_since_.emplace(machine.name, now).first->second;
-  // Its own holder's word is there with the word that it is silent; the others' may come later.
-  const bool unreachable = unreachable_to_holder_.count({machine.block, machine.zone}) != 0;
+  // Its own owner's word is there with the word that it is silent; the others' may come later.
+  const bool unreachable = unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
   if ((unreachable || cut_off(machine.zone)) && !lease_over_and_may_leave(machine, silent_for))
     return false;
   if (replica_.load(machine.name).replica_cpus <= 0) return true;
@@ -94,18 +91,18 @@
 // In a zone that is cut off work goes on until the machines' leases end; to release them would only
 // end it sooner, for want of as much room elsewhere. Afterwards it starts again as soon as the zone
 // is back, with its images there, unless there is room for it elsewhere by then.
-bool SilentMachines::lease_over_and_may_leave(const Machine& machine, double silent_for) {
+bool SilentMachines::lease_over_and_may_leave(const model::Machine& machine, double silent_for) {
   const auto& p = ctx_.settings.platform;
   const double heard = ctx_.settings.operators.machine_silence_reports * p.report_s;
   if (silent_for < p.lease_s - heard) return false;
-  const core::MachineLoad& load = replica_.load(machine.name);
+  const store::MachineLoad& load = replica_.load(machine.name);
   const bool room = load.replica_cpus <= 0 && take_room_elsewhere(load);
   return room || silent_for >= kCutLeases * p.lease_s || replica_fits_elsewhere(machine);
 }
 
 // Whether the arrays on a machine of a cut zone have room elsewhere, idle or in use by lower work
 // that makes room for them; it is theirs then.
-bool SilentMachines::take_room_elsewhere(const core::MachineLoad& load) {
+bool SilentMachines::take_room_elsewhere(const store::MachineLoad& load) {
   size_t highest = 0;
   for (const auto& ref : load.tasks)
     highest = std::max(highest, static_cast<size_t>(replica_.job(ref.job)->spec.priority));
@@ -125,14 +122,14 @@
 
 // Whether some replica on a machine of a cut zone could run in another one, for which lower work
 // there makes room.
-bool SilentMachines::replica_fits_elsewhere(const Machine& machine) const {
+bool SilentMachines::replica_fits_elsewhere(const model::Machine& machine) const {
   std::set<std::string> all_zones;
   for (const auto& [name, type] : replica_.types)
     all_zones.insert(type.zones.begin(), type.zones.end());
   for (const auto& ref : replica_.placed_on(machine.name)) {
-    const Job& job = *replica_.job(ref.job);
-    const JobSpec& s = job.spec;
-    if (s.shape != core::Shape::kService || job.over() || s.one_zone || !s.zone.empty()) continue;
+    const model::Job& job = *replica_.job(ref.job);
+    const model::JobSpec& s = job.spec;
+    if (s.shape != model::Shape::kService || job.over() || s.one_zone || !s.zone.empty()) continue;
     if (!s.spread) return true;
     auto zones = replica_.tasks_by_zone(job);
     for (const auto& zone : all_zones)
@@ -156,4 +153,4 @@
   return true;
 }
 
-}  // namespace rooksill::cloud
+}  // namespace rooksill::fleet
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -1,37 +1,39 @@
-#include "rooksill/core/leader.h"
+#include "rooksill/leader/leader.h"
 
 #include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <tuple>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/core/upgrade.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/membership/upgrade.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
+namespace rooksill::leader {
 
 using nlohmann::json;
-using state::Outcome;
 
 namespace {
-constexpr double kSafety = 0.9;        // part of a lease's time that its owner counts on
-constexpr double kRerouteReports = 1;  // how long a chunk waits in a block before another is tried
+constexpr double kSafety = 0.9;  // part of a lease's time that its owner counts on
+constexpr double kRerouteReports =
+    1;  // how long a shard waits in a partition before another is tried
 constexpr double kGangRerouteReports = 0.25;  // the same of a gang
 constexpr size_t kTurnJobs = 20;         // waiting jobs whose routes are looked at with each tick
 constexpr size_t kTurnsPerReroute = 10;  // or such a part of them
 constexpr double kGatherReports = 0.2;   // from a process's start until it leads without the others
-constexpr double kSettleReports = 2;  // how long a peer must be back before it holds blocks again
+constexpr double kSettleReports =
+    2;  // how long a peer must be back before it holds partitions again
 }  // namespace
 
-Leader::Leader(Context& ctx, Replica& replica, state::Client& client, state::Committer& committer,
-               Peers& peers, Holder& holder, cloud::Fleet& fleet)
+Leader::Leader(runtime::Context& ctx, store::Replica& replica, store::Client& client,
+               store::Committer& committer, membership::Peers& peers,
+               partition::PartitionOwner& owner, fleet::Fleet& fleet)
     : ctx_(ctx),
       replica_(replica),
       client_(client),
       committer_(committer),
       peers_(peers),
-      holder_(holder),
+      owner_(owner),
       fleet_(fleet),
       limits_(ctx, replica) {}
 
@@ -39,13 +41,13 @@
   return leading_ && ctx_.now.steady < valid_until_ &&
          replica_.leader.label == ctx_.settings.platform.label &&
          replica_.leader.incarnation == ctx_.incarnation &&
-         replica_.synced_epoch >= replica_.leader.stamp;
+         replica_.synced_revision >= replica_.leader.revision;
 }
 
 bool Leader::absent() const {
   if (leading()) return false;
   for (const auto& [label, p] : peers_.all())
-    if (p.beat.term > 0 && ctx_.now.steady - p.last_heard < peers_.silence() / 2) return false;
+    if (p.heartbeat.term > 0 && ctx_.now.steady - p.last_heard < peers_.silence() / 2) return false;
   return true;
 }
 
@@ -69,10 +71,10 @@
     return;
   }
   // Our own former process is dead for certain: its key need not run out. Any other's must.
-  const bool former_self = replica_.leader.stamp != 0 &&
+  const bool former_self = replica_.leader.revision != 0 &&
                            replica_.leader.label == ctx_.settings.platform.label &&
                            replica_.leader.incarnation != ctx_.incarnation;
-  if (replica_.leader.stamp != 0 && !former_self) {
+  if (replica_.leader.revision != 0 && !former_self) {
     vacant_since_ = 0;
     return;
   }
@@ -92,10 +94,12 @@
   const double asked = ctx_.now.steady;
   next_try_ = asked + ttl / 5 + ctx_.uniform(0, ttl / 10);
   electing_ = client_.raw(
-      "POST", "/grants", json{{"ttl_ms", ttl_ms}}.dump(), 1, [this, ttl, asked](const CallDone& d) {
+      "POST", "/grants", json{{"ttl_ms", ttl_ms}}.dump(), 1,
+      [this, ttl, asked](const runtime::CallDone& d) {
         json j = d.status == 200 ? json::parse(d.body, nullptr, false) : json();
         if (!j.is_object() || !j.contains("hold") || !j["hold"].is_number_unsigned() ||
-            (replica_.leader.stamp != 0 && replica_.leader.label != ctx_.settings.platform.label)) {
+            (replica_.leader.revision != 0 &&
+             replica_.leader.label != ctx_.settings.platform.label)) {
           electing_ = false;
           return;
         }
@@ -103,11 +107,12 @@
         const uint64_t term = replica_.term + 1;
         json value{{"h", ctx_.settings.platform.label}, {"i", ctx_.incarnation}, {"t", term}};
         bool sent = committer_.commit(
-            {{kLeaderKey, replica_.leader.stamp}, {kTermKey, replica_.term_stamp}},
-            {{kLeaderKey, value, hold}, {kTermKey, json{{"t", term}}, 0}},
-            [this, hold, term, asked, ttl](const state::TxnResult& r) {
+            {{wire::kLeaderKey, replica_.leader.revision},
+             {wire::kTermKey, replica_.term_revision}},
+            {{wire::kLeaderKey, value, hold}, {wire::kTermKey, json{{"t", term}}, 0}},
+            [this, hold, term, asked, ttl](const store::TransactionResult& r) {
               electing_ = false;
-              if (r.outcome == Outcome::kApplied) {
+              if (r.outcome == store::TransactionOutcome::kApplied) {
                 leading_ = true;
                 heard_peer_ = false;
                 term_ = term;
@@ -129,9 +134,9 @@
               // Whatever became of it, the lease is given back, and the
               // key with it.
               client_.raw("DELETE", "/grants/" + std::to_string(hold), "", 1,
-                          [](const CallDone&) {});
-              if (r.outcome == Outcome::kConflict)
-                committer_.refresh({kTermKey, kLeaderKey}, [] {});
+                          [](const runtime::CallDone&) {});
+              if (r.outcome == store::TransactionOutcome::kConflict)
+                committer_.refresh({wire::kTermKey, wire::kLeaderKey}, [] {});
             });
         if (!sent) electing_ = false;
       });
@@ -141,7 +146,7 @@
   const double ttl = ctx_.settings.operators.leader_ttl_reports * ctx_.settings.platform.report_s;
   const double asked = ctx_.now.steady;
   renewing_ = client_.raw("POST", "/grants/" + std::to_string(lease_) + "/touch", "", ttl / 4,
-                          [this, asked, ttl, lease = lease_](const CallDone& d) {
+                          [this, asked, ttl, lease = lease_](const runtime::CallDone& d) {
                             renewing_ = false;
                             if (!leading_ || lease != lease_) return;
                             next_renewal_ = ctx_.now.steady + ttl / (d.status == 200 ? 4 : 12);
@@ -155,32 +160,33 @@
   leading_ = false;
   renewing_ = false;
   fleet_.stop();
-  client_.raw("DELETE", "/grants/" + std::to_string(lease_), "", 1, [](const CallDone&) {});
+  client_.raw("DELETE", "/grants/" + std::to_string(lease_), "", 1,
+              [](const runtime::CallDone&) {});
   vacant_since_ = 0;
 }
 
-// ---- leases of blocks ----------------------------------------------------------------------
+// ---- leases of partitions ----------------------------------------------------------------------
 
 uint64_t Leader::incarnation_of(const std::string& label) const {
   if (label == ctx_.settings.platform.label) return ctx_.incarnation;
-  const Peer* p = peers_.find(label);
+  const membership::Peer* p = peers_.find(label);
   return p != nullptr ? p->incarnation : 0;
 }
 
-bool Leader::fit_to_hold(const std::string& label) {
+bool Leader::may_own(const std::string& label) {
   std::string why;
   if (label == ctx_.settings.platform.label) {
-    if (holder_.suspects_itself()) why = "it suspects itself";
+    if (owner_.suspects_itself()) why = "it suspects itself";
   } else if (!peers_.alive(label)) {
     why = "it is not heard";
   } else {
-    const Peer& peer = *peers_.find(label);
-    const net::Beat& b = peer.beat;
+    const membership::Peer& peer = *peers_.find(label);
+    const wire::ControllerHeartbeat& b = peer.heartbeat;
     if (!b.ready)
       why = "its replica is not loaded";
-    else if (Upgrade::runs_older_version(replica_, label, peer))
+    else if (membership::Upgrade::runs_older_version(replica_, label, peer))
       why = "it runs an older version";
-    else if (!b.state_ok)
+    else if (!b.store_ok)
       why = "the state service does not answer it";
     else if (b.suspects_itself)
       why = "it suspects itself";
@@ -193,37 +199,41 @@
   return why.empty();
 }
 
-void Leader::lease(int block, const std::string& label, uint64_t incarnation,
+void Leader::lease(int partition, const std::string& label, uint64_t incarnation,
                    const std::string& why) {
-  if (leasing_.count(block) != 0) return;
-  BlockLease next;
-  next.holder = label;
+  if (leasing_.count(partition) != 0) return;
+  model::PartitionLease next;
+  next.owner = label;
   next.incarnation = incarnation;
-  for (const auto& l : replica_.leases) next.token = std::max(next.token, l.token);
-  ++next.token;
-  const auto key = lease_key(block);
-  bool sent = committer_.commit(
-      {{kLeaderKey, replica_.leader.stamp},
-       {key, replica_.leases[static_cast<size_t>(block)].stamp}},
-      {{key, encode_lease(next), 0}}, [this, block, key](const state::TxnResult& r) {
-        if (r.outcome == Outcome::kConflict || r.outcome == Outcome::kUnknown) {
-          committer_.refresh({key}, [this, block] { leasing_.erase(block); });
-          return;
-        }
-        leasing_.erase(block);
-      });
+  for (const auto& l : replica_.leases)
+    next.fencing_token = std::max(next.fencing_token, l.fencing_token);
+  ++next.fencing_token;
+  const auto key = wire::lease_key(partition);
+  bool sent = committer_.commit({{wire::kLeaderKey, replica_.leader.revision},
+                                 {key, replica_.leases[static_cast<size_t>(partition)].revision}},
+                                {{key, wire::encode_lease(next), 0}},
+                                [this, partition, key](const store::TransactionResult& r) {
+                                  if (r.outcome == store::TransactionOutcome::kConflict ||
+                                      r.outcome == store::TransactionOutcome::kUnknown) {
+                                    committer_.refresh(
+                                        {key}, [this, partition] { leasing_.erase(partition); });
+                                    return;
+                                  }
+                                  leasing_.erase(partition);
+                                });
   if (!sent) return;
-  leasing_.insert(block);
-  ctx_.info("leader", "block {} leased to {} with token {} ({})", block, label, next.token, why);
+  leasing_.insert(partition);
+  ctx_.info("leader", "block {} leased to {} with token {} ({})", partition, label,
+            next.fencing_token, why);
 }
 
-void Leader::lease_blocks() {
+void Leader::assign_partitions() {
   const auto labels = ctx_.settings.platform.labels();
   const double settle = kSettleReports * ctx_.settings.platform.report_s;
   std::map<std::string, int> held;
   std::vector<std::string> fit;
   for (const auto& l : labels)
-    if (fit_to_hold(l)) {
+    if (may_own(l)) {
       fit.push_back(l);
       held[l] = 0;
     }
@@ -232,47 +242,47 @@
     for (const auto& l : labels)
       if (l == ctx_.settings.platform.label || peers_.alive(l)) fit.push_back(l);
   if (fit.empty()) return;
-  for (const auto& l : replica_.leases) ++held[l.holder];
+  for (const auto& l : replica_.leases) ++held[l.owner];
   const double now = ctx_.now.steady;
-  const int blocks = static_cast<int>(replica_.leases.size());
+  const int partitions = static_cast<int>(replica_.leases.size());
   // After a crash of all, the others are heard a moment later than the first of them leads: to wait
   // for them costs less than to have one face all workers first and deal them out again.
   const bool early = now - started_ < kGatherReports * ctx_.settings.platform.report_s &&
                      std::any_of(labels.begin(), labels.end(), [&](const auto& label) {
-                       const Peer* p = peers_.find(label);
-                       return p != nullptr && (p->incarnation == 0 || !p->beat.ready);
+                       const membership::Peer* p = peers_.find(label);
+                       return p != nullptr && (p->incarnation == 0 || !p->heartbeat.ready);
                      });
   auto least = [&] {
     return *std::min_element(fit.begin(), fit.end(),
                              [&](const auto& a, const auto& b) { return held[a] < held[b]; });
   };
-  for (int b = 0; b < blocks; ++b) {
-    const BlockLease& l = replica_.leases[static_cast<size_t>(b)];
-    const bool current = std::find(fit.begin(), fit.end(), l.holder) != fit.end() &&
-                         l.incarnation == incarnation_of(l.holder);
+  for (int b = 0; b < partitions; ++b) {
+    const model::PartitionLease& l = replica_.leases[static_cast<size_t>(b)];
+    const bool current = std::find(fit.begin(), fit.end(), l.owner) != fit.end() &&
+                         l.incarnation == incarnation_of(l.owner);
     if (current || early) continue;
     const std::string to = least();
     ++held[to];
-    const Peer* p = peers_.find(l.holder);
-    const bool suspects = l.holder == ctx_.settings.platform.label
-                              ? holder_.suspects_itself()
-                              : p != nullptr && p->beat.suspects_itself;
+    const membership::Peer* p = peers_.find(l.owner);
+    const bool suspects = l.owner == ctx_.settings.platform.label
+                              ? owner_.suspects_itself()
+                              : p != nullptr && p->heartbeat.suspects_itself;
     if (suspects) gave_up_[b] = now;
-    lease(b, to, incarnation_of(to), l.holder.empty() ? "first lease" : "holder is not fit");
+    lease(b, to, incarnation_of(to), l.owner.empty() ? "first lease" : "holder is not fit");
   }
-  // One that has been back for a while gets a block of the one with the most, its own one if it is
-  // among them. Not only its own: after several crashes each may hold another's.
+  // One that has been back for a while gets a partition of the one with the most, its own one if it
+  // is among them. Not only its own: after several crashes each may hold another's.
   std::string most = fit.front(), to;
   for (const auto& label : fit) {
-    const Peer* p = peers_.find(label);
+    const membership::Peer* p = peers_.find(label);
     const double back = p != nullptr ? p->first_heard : term_started_;
     if (held[label] > held[most]) most = label;
     if (now - back > settle && (to.empty() || held[label] < held[to])) to = label;
   }
   if (to.empty() || held[most] < held[to] + 2 || !leasing_.empty()) return;
   int moved = -1;
-  for (int b = 0; b < blocks; ++b) {
-    if (replica_.leases[static_cast<size_t>(b)].holder != most) continue;
+  for (int b = 0; b < partitions; ++b) {
+    if (replica_.leases[static_cast<size_t>(b)].owner != most) continue;
     const bool home = labels[static_cast<size_t>(b) % labels.size()] == to;
     if (moved < 0 || home) moved = b;
     if (home) break;
@@ -280,17 +290,18 @@
   if (moved >= 0) lease(moved, to, incarnation_of(to), "it holds fewer");
 }
 
-// Blocks whose holder saw nearly all machines fall silent: it may be the holder's own trouble. The
-// next holder's word is taken.
-std::set<int> Leader::suspect_blocks() {
+// Partitions whose owner saw nearly all machines fall silent: it may be the owner's own trouble.
+// The next owner's word is taken.
+std::set<int> Leader::suspect_partitions() {
   std::set<int> out;
   const double report = ctx_.settings.platform.report_s;
   for (int b = 0; b < static_cast<int>(replica_.leases.size()); ++b) {
-    const std::string& holder = replica_.leases[static_cast<size_t>(b)].holder;
-    const Peer* p = peers_.find(holder);
-    const bool suspects = holder == ctx_.settings.platform.label
-                              ? holder_.suspects_itself()
-                              : p == nullptr || p->beat.suspects_itself || !peers_.alive(holder);
+    const std::string& owner = replica_.leases[static_cast<size_t>(b)].owner;
+    const membership::Peer* p = peers_.find(owner);
+    const bool suspects =
+        owner == ctx_.settings.platform.label
+            ? owner_.suspects_itself()
+            : p == nullptr || p->heartbeat.suspects_itself || !peers_.alive(owner);
     auto g = gave_up_.find(b);
     const bool second = g != gave_up_.end() && ctx_.now.steady - g->second < 20 * report;
     if (suspects && !second) out.insert(b);
@@ -298,54 +309,56 @@
   return out;
 }
 
-// Zones that holders find cut off. One inside such a zone sees it otherwise.
-cloud::UnreachableZones Leader::unreachable_zones() const {
-  std::set<std::string> holders;
-  std::map<std::string, std::set<std::string>> votes;  // zone -> holders
-  cloud::UnreachableZones out;
+// Zones that owners find cut off. One inside such a zone sees it otherwise.
+fleet::UnreachableZones Leader::unreachable_zones() const {
+  std::set<std::string> owners;
+  std::map<std::string, std::set<std::string>> votes;  // zone -> owners
+  fleet::UnreachableZones out;
   for (int b = 0; b < static_cast<int>(replica_.leases.size()); ++b) {
-    const std::string& holder = replica_.leases[static_cast<size_t>(b)].holder;
-    holders.insert(holder);
-    const Peer* p = peers_.find(holder);
-    const auto dark = holder == ctx_.settings.platform.label ? holder_.unreachable_zones()
-                      : p != nullptr                         ? p->beat.unreachable_zones
-                                                             : std::vector<std::string>();
-    for (const auto& zone : dark) {
-      out.to_holder.insert({b, zone});
-      votes[zone].insert(holder);
+    const std::string& owner = replica_.leases[static_cast<size_t>(b)].owner;
+    owners.insert(owner);
+    const membership::Peer* p = peers_.find(owner);
+    const auto unreachable = owner == ctx_.settings.platform.label ? owner_.unreachable_zones()
+                             : p != nullptr                        ? p->heartbeat.unreachable_zones
+                                                                   : std::vector<std::string>();
+    for (const auto& zone : unreachable) {
+      out.to_owner.insert({b, zone});
+      votes[zone].insert(owner);
     }
   }
   for (const auto& [zone, by] : votes)
-    if (by.size() * 2 > holders.size()) out.to_most.insert(zone);
+    if (by.size() * 2 > owners.size()) out.to_most.insert(zone);
   return out;
 }
 
 // ---- routing -------------------------------------------------------------------------------
 
-// What teams use of their limits, as far as holders can be heard.
-void Leader::refresh_limits() {
-  std::vector<net::TeamUse> used = holder_.team_use();
+// What teams use of their limits, as far as owners can be heard.
+void Leader::refresh_quotas() {
+  std::vector<wire::QuotaUse> used = owner_.quota_use();
   for (const auto& [label, p] : peers_.all()) {
     if (!peers_.heard(label)) continue;
-    for (const auto& u : p.beat.team_use) {
-      const bool known = u.block >= 0 && static_cast<size_t>(u.block) < replica_.leases.size();
-      if (known && replica_.leases[static_cast<size_t>(u.block)].holder == label) used.push_back(u);
+    for (const auto& u : p.heartbeat.quota_use) {
+      const bool known =
+          u.partition >= 0 && static_cast<size_t>(u.partition) < replica_.leases.size();
+      if (known && replica_.leases[static_cast<size_t>(u.partition)].owner == label)
+        used.push_back(u);
     }
   }
   limits_.refresh(used);
 }
 
-void Leader::sum_up(const net::ViewMap& views) {
+void Leader::sum_up(const wire::MachineStatusMap& statuses) {
   pools_.assign(replica_.leases.size(), {});
   std::vector<std::map<std::tuple<std::string, std::string, bool>, size_t>> at(pools_.size());
-  for (const auto& [name, v] : views) {
-    const Machine* m = replica_.machine(name);
+  for (const auto& [name, v] : statuses) {
+    const model::Machine* m = replica_.machine(name);
     if (m == nullptr || !v.up) continue;
     auto type = replica_.types.find(m->type);
     if (type == replica_.types.end()) continue;
-    auto& pools = pools_[static_cast<size_t>(m->block)];
-    auto [it, fresh] =
-        at[static_cast<size_t>(m->block)].try_emplace({m->type, m->zone, m->spot}, pools.size());
+    auto& pools = pools_[static_cast<size_t>(m->partition)];
+    auto [it, fresh] = at[static_cast<size_t>(m->partition)].try_emplace(
+        {m->type, m->zone, m->spot}, pools.size());
     if (fresh) {
       pools.emplace_back();
       pools.back().type = &type->second;
@@ -363,23 +376,23 @@
   }
 }
 
-int Leader::choose_block(const Job& job, uint32_t chunk, int tried) {
-  const JobSpec& s = job.spec;
-  const size_t blocks = replica_.leases.size();
-  pools_.resize(blocks);
-  std::vector<double> score(blocks);
+int Leader::choose_partition(const model::Job& job, uint32_t shard, int tried) {
+  const model::JobSpec& s = job.spec;
+  const size_t partitions = replica_.leases.size();
+  pools_.resize(partitions);
+  std::vector<double> score(partitions);
   std::map<std::string, uint32_t> zones;
   std::string only_zone = s.zone;
   if (s.spread || s.one_zone) {
-    for (const auto& c : job.chunks)
+    for (const auto& c : job.shards)
       for (const auto& t : c.tasks)
-        if (const Machine* m = t.machine.empty() ? nullptr : replica_.machine(t.machine)) {
-          score[static_cast<size_t>(m->block)] += 0.5;
+        if (const model::Machine* m = t.machine.empty() ? nullptr : replica_.machine(t.machine)) {
+          score[static_cast<size_t>(m->partition)] += 0.5;
           ++zones[m->zone];
           if (s.one_zone) only_zone = m->zone;
         }
   }
-  const Chunk& c = job.chunks[chunk];
+  const model::TaskShard& c = job.shards[shard];
   const double wanted = static_cast<double>(c.tasks.size()) - c.done - c.placed;
   const uint32_t most_in_zone = s.most_in_zone();
   auto usable = [&](const Pool& p) {
@@ -400,8 +413,8 @@
     for (size_t k = 0; k < static_cast<size_t>(s.priority); ++k) sum += p.cpus_by_priority[k];
     return sum;
   };
-  std::vector<BlockFit> fits(blocks);
-  for (size_t b = 0; b < blocks; ++b) {
+  std::vector<quota::PartitionFit> fits(partitions);
+  for (size_t b = 0; b < partitions; ++b) {
     std::map<std::string, double> per_zone;
     double cached = 0, lower = 0;
     for (const Pool& p : pools_[b]) {
@@ -422,18 +435,18 @@
     }
     // A gang needs room for all of its tasks at once: a part is of use only for being nearest to
     // it.
-    if (s.shape == Shape::kGang && fit < s.tasks) {
+    if (s.shape == model::Shape::kGang && fit < s.tasks) {
       score[b] += fit;
       fit = cached = 0;
     }
     fits[b].room = fit;
-    // A block without a share for this team cannot take the job, whatever its room.
-    const int block = static_cast<int>(b);
-    if (placement::limit_share(ctx_.settings, replica_, s.team, block).cpus < s.cpus) {
+    // A partition without a share for this team cannot take the job, whatever its room.
+    const int partition = static_cast<int>(b);
+    if (quota::quota_share(ctx_.settings, replica_, s.team, partition).cpus < s.cpus) {
       score[b] = -1;
       continue;
     }
-    const double within = limits_.tasks_left(s, block);
+    const double within = limits_.tasks_left(s, partition);
     fits[b].within_share = std::min(fit, within);
     fit = std::min(fit, within);
     cached = std::min(cached, within);
@@ -442,17 +455,18 @@
     if (s.cpus > 0) score[b] += 2 * std::min(unplaced, std::floor(lower / s.cpus));
     score[b] +=
         10 * std::min(fit, wanted) + 5 * std::min(cached, wanted) + 0.01 * std::min(fit, 100.0);
-    // Sums over machines say too much of room for a whole gang: where it found none, another block
-    // that seems to have it is tried.
-    if (block == tried) score[b] /= 2;
+    // Sums over machines say too much of room for a whole gang: where it found none, another
+    // partition that seems to have it is tried.
+    if (partition == tried) score[b] /= 2;
     // Among equals, jobs are dealt out evenly.
-    score[b] += 0.001 * static_cast<double>((std::hash<std::string>{}(s.id) + chunk + b) % blocks);
+    score[b] +=
+        0.001 * static_cast<double>((std::hash<std::string>{}(s.id) + shard + b) % partitions);
   }
   const auto best =
       static_cast<size_t>(std::max_element(score.begin(), score.end()) - score.begin());
   if (fits[best].within_share < wanted) limits_.note(s, wanted, fits);
   limits_.take(s, static_cast<int>(best), std::min(wanted, fits[best].within_share));
-  // The next job finds less room there, also before its holder has said so.
+  // The next job finds less room there, also before its owner has said so.
   double left = wanted;
   for (Pool& p : pools_[best]) {
     if (left <= 0) break;
@@ -488,41 +502,42 @@
 void Leader::route(const std::set<std::string>& jobs) {
   const double now = ctx_.now.steady;
   const double report = ctx_.settings.platform.report_s;
-  // Holders that hear no leader place what falls to them by a rule; so does the leader then.
+  // Owners that hear no leader place what falls to them by a rule; so does the leader then.
   const bool apart =
       std::any_of(replica_.leases.begin(), replica_.leases.end(), [&](const auto& l) {
-        return !l.holder.empty() && l.holder != ctx_.settings.platform.label &&
-               !peers_.heard(l.holder);
+        return !l.owner.empty() && l.owner != ctx_.settings.platform.label &&
+               !peers_.heard(l.owner);
       });
   for (const auto& id : jobs) {
-    const Job* found = replica_.job(id);
+    const model::Job* found = replica_.job(id);
     if (found == nullptr || replica_.waiting_jobs.count(id) == 0) continue;
-    const Job& job = *found;
-    const bool gang = job.spec.shape == Shape::kGang;
+    const model::Job& job = *found;
+    const bool gang = job.spec.shape == model::Shape::kGang;
     const double patience = (gang ? kGangRerouteReports : kRerouteReports) * report;
     int together = -1;
-    for (uint32_t c = 0; c < job.chunks.size(); ++c) {
-      const Chunk& chunk = job.chunks[c];
-      if (chunk.done + chunk.placed >= chunk.tasks.size()) continue;
+    for (uint32_t c = 0; c < job.shards.size(); ++c) {
+      const model::TaskShard& shard = job.shards[c];
+      if (shard.done + shard.placed >= shard.tasks.size()) continue;
       auto it = routes_.find({id, c});
-      int block;
+      int partition;
       if (it != routes_.end() && now - it->second.since < patience) {
-        block = it->second.block;
+        partition = it->second.partition;
       } else if (together >= 0) {
-        block = together;
+        partition = together;
       } else if (apart) {
-        block = placement::dealt_block(ctx_.settings, replica_, job, c, ctx_.now.wall);
+        partition = quota::fallback_partition(ctx_.settings, replica_, job, c, ctx_.now.wall);
       } else {
-        block = choose_block(job, c, gang && it != routes_.end() ? it->second.block : -1);
+        partition =
+            choose_partition(job, c, gang && it != routes_.end() ? it->second.partition : -1);
       }
-      // One block at a time decides for a job whose tasks depend on each other's places.
-      if (job.spec.one_zone || job.spec.spread || gang) together = block;
-      if (it != routes_.end() && it->second.block == block) {
+      // One partition at a time decides for a job whose tasks depend on each other's places.
+      if (job.spec.one_zone || job.spec.spread || gang) together = partition;
+      if (it != routes_.end() && it->second.partition == partition) {
         if (now - it->second.since >= patience) it->second.since = now;
         continue;
       }
-      routes_[{id, c}] = {block, now};
-      fresh_routes_[block].push_back({id, c});
+      routes_[{id, c}] = {partition, now};
+      fresh_routes_[partition].push_back({id, c});
     }
   }
 }
@@ -533,59 +548,59 @@
   const auto moves = fleet_.take_moves();
   std::vector<bool> can_give;
   for (const auto& l : replica_.leases)
-    can_give.push_back(l.holder == ctx_.settings.platform.label || peers_.heard(l.holder));
+    can_give.push_back(l.owner == ctx_.settings.platform.label || peers_.heard(l.owner));
   const auto transfers = limits_.decide(can_give);
   if (!full && fresh_routes_.empty() && moves.empty() && transfers.empty()) return;
-  std::map<std::string, net::Routes> messages;
+  std::map<std::string, wire::RoutingUpdate> messages;
   for (const auto& label : ctx_.settings.platform.labels()) {
-    net::Routes& m = messages[label];
+    wire::RoutingUpdate& m = messages[label];
     m.term = term_;
     m.full = full;
   }
-  auto holder = [&](int block) { return replica_.leases[static_cast<size_t>(block)].holder; };
+  auto owner = [&](int partition) { return replica_.leases[static_cast<size_t>(partition)].owner; };
   if (full) {
     next_full_routes_ = now + ctx_.settings.platform.report_s / 6;
     std::erase_if(routes_, [&](const auto& r) {
-      const Job* job = replica_.job(r.first.first);
-      if (job == nullptr || job->over() || r.first.second >= job->chunks.size()) return true;
-      const Chunk& c = job->chunks[r.first.second];
+      const model::Job* job = replica_.job(r.first.first);
+      if (job == nullptr || job->over() || r.first.second >= job->shards.size()) return true;
+      const model::TaskShard& c = job->shards[r.first.second];
       return c.done + c.placed >= c.tasks.size();
     });
     for (const auto& [key, r] : routes_)
-      messages[holder(r.block)].routes.push_back({key.first, key.second});
+      messages[owner(r.partition)].routes.push_back({key.first, key.second});
     for (const auto& name : fleet_.draining())
-      if (const Machine* m = replica_.machine(name))
-        messages[holder(m->block)].drain.push_back(name);
+      if (const model::Machine* m = replica_.machine(name))
+        messages[owner(m->partition)].drain.push_back(name);
   } else {
-    for (const auto& [block, routes] : fresh_routes_) {
-      auto& to = messages[holder(block)].routes;
+    for (const auto& [partition, routes] : fresh_routes_) {
+      auto& to = messages[owner(partition)].routes;
       to.insert(to.end(), routes.begin(), routes.end());
     }
   }
   fresh_routes_.clear();
   for (auto& [label, m] : messages) m.moves = moves;
-  for (const auto& t : transfers) messages[holder(t.from)].transfers.push_back(t);
+  for (const auto& t : transfers) messages[owner(t.from)].transfers.push_back(t);
   for (auto& [label, m] : messages) {
     if (!full && m.routes.empty() && m.moves.empty() && m.transfers.empty()) continue;
     if (label == ctx_.settings.platform.label)
-      holder_.routes(m);
+      owner_.routes(m);
     else if (!label.empty())
-      peers_.send(label, net::PeerKind::kRoutes, net::pack(m));
+      peers_.send(label, wire::PeerKind::kRouting, wire::pack(m));
   }
 }
 
-// Since when each chunk waits. What has just come is being placed; only what found no room counts.
-std::vector<cloud::Waiting> Leader::waiting() {
-  std::vector<cloud::Waiting> out;
-  std::map<ChunkId, double> since;
+// Since when each shard waits. What has just come is being placed; only what found no room counts.
+std::vector<fleet::Waiting> Leader::waiting() {
+  std::vector<fleet::Waiting> out;
+  std::map<partition::ShardId, double> since;
   const double now = ctx_.now.steady;
   for (const auto& id : replica_.waiting_jobs) {
-    const Job& job = *replica_.job(id);
-    if (holder_.backing_off(id)) continue;
+    const model::Job& job = *replica_.job(id);
+    if (owner_.backing_off(id)) continue;
     uint32_t count = 0;
-    for (uint32_t c = 0; c < job.chunks.size(); ++c) {
-      const Chunk& chunk = job.chunks[c];
-      const auto left = static_cast<uint32_t>(chunk.tasks.size()) - chunk.done - chunk.placed;
+    for (uint32_t c = 0; c < job.shards.size(); ++c) {
+      const model::TaskShard& shard = job.shards[c];
+      const auto left = static_cast<uint32_t>(shard.tasks.size()) - shard.done - shard.placed;
       if (left == 0) continue;
       auto it = waiting_since_.find({id, c});
       const double from = since[{id, c}] = it != waiting_since_.end() ? it->second : now;
@@ -602,45 +617,46 @@
   return out;
 }
 
-// Two holders may finish the last tasks of a job at once, each without seeing the other's.
+// Two owners may finish the last tasks of a job at once, each without seeing the other's.
 void Leader::finish_jobs() {
   for (const auto& id : replica_.finished_jobs) {
-    const Job& job = *replica_.job(id);
+    const model::Job& job = *replica_.job(id);
     if (finishing_.count(id) != 0) continue;
-    Job ended;
+    model::Job ended;
     ended.spec.tasks = job.spec.tasks;
-    ended.end = JobEnd::kDone;
-    bool sent =
-        committer_.commit({{job_key(id), job.stamp}}, {{job_key(id), encode_job(ended), 0}},
-                          [this, id](const state::TxnResult& r) {
-                            if (r.outcome == Outcome::kApplied || r.outcome == Outcome::kRefused) {
-                              finishing_.erase(id);
-                              return;
-                            }
-                            committer_.refresh({job_key(id)}, [this, id] { finishing_.erase(id); });
-                          });
+    ended.end = model::JobEnd::kDone;
+    bool sent = committer_.commit(
+        {{wire::job_key(id), job.revision}}, {{wire::job_key(id), wire::encode_job(ended), 0}},
+        [this, id](const store::TransactionResult& r) {
+          if (r.outcome == store::TransactionOutcome::kApplied ||
+              r.outcome == store::TransactionOutcome::kRefused) {
+            finishing_.erase(id);
+            return;
+          }
+          committer_.refresh({wire::job_key(id)}, [this, id] { finishing_.erase(id); });
+        });
     if (sent) finishing_.insert(id);
   }
 }
 
-void Leader::tick(const net::ViewMap& views) {
+void Leader::tick(const wire::MachineStatusMap& statuses) {
   if (started_ == 0) started_ = ctx_.now.steady;
   elect();
   if (!leading()) return;
   const double now = ctx_.now.steady;
   const double report = ctx_.settings.platform.report_s;
-  lease_blocks();
+  assign_partitions();
   finish_jobs();
   if (now >= next_sum_) {
     next_sum_ = now + report / 10;
-    sum_up(views);
-    refresh_limits();
+    sum_up(statuses);
+    refresh_quotas();
   }
   // Whom to rent for changes slowly beside the tick.
   if (fleet_.wants_waiting())
-    fleet_.tick(views, waiting(), suspect_blocks(), unreachable_zones());
+    fleet_.tick(statuses, waiting(), suspect_partitions(), unreachable_zones());
   else
-    fleet_.tick(views, {}, suspect_blocks(), unreachable_zones());
+    fleet_.tick(statuses, {}, suspect_partitions(), unreachable_zones());
   // Those that found no room are looked at again in turn: a part of them with each tick.
   std::set<std::string> turn;
   auto from = replica_.waiting_jobs.upper_bound(last_routed_);
@@ -651,4 +667,4 @@
   send_routes();
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::leader
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -1,8 +1,8 @@
-#include "rooksill/core/cancellations.h"
+#include "rooksill/membership/cancellations.h"
 
 #include <algorithm>
 
-namespace rooksill::core {
+namespace rooksill::membership {
 
 namespace {
 // Of those that some peer has not confirmed, whatever the number of machines or jobs. A peer that
@@ -49,44 +49,44 @@
     if (ctx_.now.steady >= w.next_tell) from = w.confirmed + 1;
     from = std::max(from, first_);
     if (from > count) continue;
-    net::Cancelled message;
+    wire::Cancelled message;
     message.first = from;
     const auto at = learned_.begin() + static_cast<long>(from - first_);
     const size_t most = std::min<size_t>(kPerMessage, static_cast<size_t>(learned_.end() - at));
     message.jobs.assign(at, at + static_cast<long>(most));
     w.told = from + most - 1;
     w.next_tell = ctx_.now.steady + again;
-    peers_.send(label, net::PeerKind::kCancelled, net::pack(message));
+    peers_.send(label, wire::PeerKind::kCancelled, wire::pack(message));
   }
 }
 
-void Cancellations::fill(net::Beat& beat) const {
-  beat.said_at = ctx_.now.steady;
-  beat.cancelled = first_ - 1 + learned_.size();
+void Cancellations::fill(wire::ControllerHeartbeat& heartbeat) const {
+  heartbeat.sent_at = ctx_.now.steady;
+  heartbeat.cancelled = first_ - 1 + learned_.size();
   for (const auto& [label, w] : words_) {
-    if (w.incarnation == 0 || w.said_at < -1) continue;
-    beat.heard.push_back({label, w.incarnation, w.got, w.said_at});
+    if (w.incarnation == 0 || w.sent_at < -1) continue;
+    heartbeat.heard.push_back({label, w.incarnation, w.got, w.sent_at});
   }
 }
 
-void Cancellations::heard(const std::string& label, const net::Cancelled& message) {
+void Cancellations::heard(const std::string& label, const wire::Cancelled& message) {
   Word& w = word_of(label);
   // Acted on at once; the job's record follows by the watch.
   for (const auto& id : message.jobs)
-    if (valid_job_id(id)) replica_.note_cancelled(id);
+    if (wire::valid_job_id(id)) replica_.record_cancelled(id);
   const uint64_t last = message.first + message.jobs.size() - 1;
   if (!message.jobs.empty() && message.first <= w.got + 1) w.got = std::max(w.got, last);
 }
 
-// A beat is older than its arrival, by minutes if it was held up. It is later than the last of our
-// own that it answers to, and that one's time is known by our clock.
-void Cancellations::heard(const std::string& label, const net::Beat& beat) {
+// A heartbeat is older than its arrival, by minutes if it was held up. It is later than the last of
+// our own that it answers to, and that one's time is known by our clock.
+void Cancellations::heard(const std::string& label, const wire::ControllerHeartbeat& heartbeat) {
   Word& w = word_of(label);
   const double now = ctx_.now.steady;
-  w.said_at = std::max(w.said_at, beat.said_at);
-  if (beat.ready && w.ready_at < 0) w.ready_at = now;
-  if (beat.cancelled > w.said) {
-    w.said = beat.cancelled;
+  w.sent_at = std::max(w.sent_at, heartbeat.sent_at);
+  if (heartbeat.ready && w.ready_at < 0) w.ready_at = now;
+  if (heartbeat.cancelled > w.said) {
+    w.said = heartbeat.cancelled;
     if (w.samples.size() >= kSamples)
       w.samples.back() = {now, w.said};
     else
@@ -97,24 +97,24 @@
     w.got = std::max(w.got, w.samples.front().second);
     w.samples.pop_front();
   }
-  for (const auto& h : beat.heard) {
+  for (const auto& h : heartbeat.heard) {
     if (h.label != ctx_.settings.platform.label || h.incarnation != ctx_.incarnation) continue;
     w.confirmed = std::max(w.confirmed, h.cancelled);
     // What a former process of this node told is known if the state was asked since it was gone.
     const bool former = w.ready_at < 0 || replica_.synced_at < w.ready_at;
-    if (former || w.got < beat.cancelled) continue;
-    double& vouched = vouched_.try_emplace(label, -1e9).first->second;
-    vouched = std::max(vouched, std::min(h.said_at, now));
+    if (former || w.got < heartbeat.cancelled) continue;
+    double& confirmed = confirmed_at_.try_emplace(label, -1e9).first->second;
+    confirmed = std::max(confirmed, std::min(h.sent_at, now));
   }
 }
 
 double Cancellations::known_at() const {
   double all = ctx_.now.steady;
   for (const auto& [label, p] : peers_.all()) {
-    auto it = vouched_.find(label);
-    all = std::min(all, it == vouched_.end() ? -1e9 : it->second);
+    auto it = confirmed_at_.find(label);
+    all = std::min(all, it == confirmed_at_.end() ? -1e9 : it->second);
   }
   return std::max(all, replica_.synced_at);
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::membership
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -7,26 +7,26 @@
 #include <map>
 #include <string>
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/peers.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/net/peer_codec.h"
+#include "rooksill/membership/peers.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
 
-namespace rooksill::core {
+namespace rooksill::membership {
 
 class Cancellations {
  public:
-  Cancellations(Context& ctx, Replica& replica, Peers& peers)
+  Cancellations(runtime::Context& ctx, store::Replica& replica, Peers& peers)
       : ctx_(ctx), replica_(replica), peers_(peers) {}
 
   // Takes up what the replica has learned. Comes before anything is said to peers or users.
   void collect();
   // To those that lack some: at once what is new, and again what they have not confirmed.
   void tell();
-  void fill(net::Beat& beat) const;
+  void fill(wire::ControllerHeartbeat& heartbeat) const;
 
-  void heard(const std::string& label, const net::Cancelled& message);
-  void heard(const std::string& label, const net::Beat& beat);
+  void heard(const std::string& label, const wire::Cancelled& message);
+  void heard(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
 
   // Every cancellation that any controller told a user before this moment, by our steady clock, is
   // in the replica.
@@ -37,7 +37,7 @@
   struct Word {
     uint64_t incarnation = 0;
     double ready_at = -1;   // when it was first heard to know the state
-    double said_at = -1e9;  // by its clock, when it made the last beat that came
+    double sent_at = -1e9;  // by its clock, when it made the last heartbeat that came
     uint64_t said = 0;      // how many it had learned by then
     uint64_t got = 0;       // all up to here are known here
     std::deque<std::pair<double, uint64_t>> samples;  // (when it came, how many it said)
@@ -47,15 +47,15 @@
   };
   Word& word_of(const std::string& label);
 
-  Context& ctx_;
-  Replica& replica_;
+  runtime::Context& ctx_;
+  store::Replica& replica_;
   Peers& peers_;
   std::deque<std::string> learned_;  // those numbered first_ and up
   uint64_t first_ = 1;
   bool was_synced_ = false;
   std::map<std::string, Word> words_;
   // By peer: all that it told a user before this moment is known. True whatever becomes of it.
-  std::map<std::string, double> vouched_;
+  std::map<std::string, double> confirmed_at_;
 };
 
-}  // namespace rooksill::core
+}  // namespace rooksill::membership
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -1,12 +1,13 @@
-#include "rooksill/core/peers.h"
+#include "rooksill/membership/peers.h"
 
 #include <algorithm>
 
-namespace rooksill::core {
+namespace rooksill::membership {
 
-std::optional<net::Envelope> Peers::receive(const std::string& bytes) {
-  net::Envelope e;
-  if (!net::unpack(bytes, e) || e.version < kFirstVersion || e.version > kPresentVersion)
+std::optional<wire::Envelope> Peers::receive(const std::string& bytes) {
+  wire::Envelope e;
+  if (!wire::unpack(bytes, e) || e.version < model::kFirstVersion ||
+      e.version > model::kPresentVersion)
     return std::nullopt;
   auto it = peers_.find(e.label);
   if (it == peers_.end()) return std::nullopt;
@@ -15,31 +16,31 @@
     // Incarnations grow with the time of day; held packets of an earlier process come late.
     if (e.incarnation < p.incarnation) return std::nullopt;
     p.incarnation = e.incarnation;
-    p.seq = 0;
+    p.sequence = 0;
     p.first_heard = ctx_.now.steady;
-    p.beat = {};
-  } else if (e.seq <= p.seq) {
+    p.heartbeat = {};
+  } else if (e.sequence <= p.sequence) {
     return std::nullopt;
   }
   if (!alive(e.label)) p.first_heard = ctx_.now.steady;
-  p.seq = e.seq;
+  p.sequence = e.sequence;
   p.version = e.version;
   p.last_heard = ctx_.now.steady;
   return e;
 }
 
-void Peers::send(const std::string& label, net::PeerKind kind, const std::string& payload) {
-  net::Envelope e;
+void Peers::send(const std::string& label, wire::PeerKind kind, const std::string& payload) {
+  wire::Envelope e;
   e.version = version_;
   e.kind = static_cast<int>(kind);
   e.label = ctx_.settings.platform.label;
   e.incarnation = ctx_.incarnation;
-  e.seq = ++seq_;
+  e.sequence = ++seq_;
   e.payload = payload;
-  ctx_.out.peer.push_back({label, net::pack(e)});
+  ctx_.out.peer.push_back({label, wire::pack(e)});
 }
 
-void Peers::broadcast(net::PeerKind kind, const std::string& payload) {
+void Peers::broadcast(wire::PeerKind kind, const std::string& payload) {
   for (const auto& [label, p] : peers_) send(label, kind, payload);
 }
 
@@ -57,53 +58,55 @@
 
 bool Peers::alive(const std::string& label) const {
   const Peer* p = find(label);
-  return heard(label) ||
-         (p != nullptr && ctx_.now.steady - p->sign_at < kSignPatience * sign_pause());
+  return heard(label) || (p != nullptr && ctx_.now.steady - p->liveness_seen_at <
+                                              kLivenessPatience * liveness_interval());
 }
 
 // Connections that are refused are no deaths. Only signs meant for us count: a controller writes
 // them too while another is down, and its own death must not be found out the later for it.
-void Peers::see(const Replica& replica) {
+void Peers::see(const store::Replica& replica) {
   if (!replica.synced) return;
   const auto& self = ctx_.settings.platform.label;
   for (auto& [label, p] : peers_) {
-    auto it = replica.life_signs.find(label);
-    if (it == replica.life_signs.end() || it->second.stamp <= p.sign_stamp) continue;
-    const LifeSign& s = it->second;
-    p.sign_stamp = s.stamp;
+    auto it = replica.liveness_records.find(label);
+    if (it == replica.liveness_records.end() || it->second.revision <= p.liveness_revision)
+      continue;
+    const model::LivenessRecord& s = it->second;
+    p.liveness_revision = s.revision;
     // What was there when this process started may be long out of date.
-    if (!signs_known_ || s.incarnation < p.incarnation) continue;
+    if (!liveness_known_ || s.incarnation < p.incarnation) continue;
     if (std::find(s.meant_for.begin(), s.meant_for.end(), self) == s.meant_for.end()) continue;
     if (s.incarnation != p.incarnation) {
       p.incarnation = s.incarnation;
-      p.seq = 0;
-      p.beat = {};
+      p.sequence = 0;
+      p.heartbeat = {};
     }
     if (!alive(label)) p.first_heard = ctx_.now.steady;
-    p.sign_at = ctx_.now.steady;
+    p.liveness_seen_at = ctx_.now.steady;
     if (heard(label)) continue;
-    p.beat.ready = p.beat.state_ok = true;
-    p.beat.suspects_itself = s.suspects_itself;
-    p.beat.unreachable_zones = s.unreachable_zones;
+    p.heartbeat.ready = p.heartbeat.store_ok = true;
+    p.heartbeat.suspects_itself = s.suspects_itself;
+    p.heartbeat.unreachable_zones = s.unreachable_zones;
   }
-  signs_known_ = true;
+  liveness_known_ = true;
 }
 
-std::vector<std::string> Peers::owed(const Replica& replica) const {
+std::vector<std::string> Peers::owed(const store::Replica& replica) const {
   std::vector<std::string> out;
   const double now = ctx_.now.steady;
   const auto& self = ctx_.settings.platform.label;
   bool due = false;
   for (const auto& [label, p] : peers_) {
     const double quiet = now - p.last_heard;
-    const bool lately = std::min(quiet, now - p.sign_at) < 2 * ctx_.settings.platform.lease_s;
-    auto it = replica.life_signs.find(label);
-    const bool asks = now - p.sign_at < kSignPatience * sign_pause() &&
-                      it != replica.life_signs.end() &&
+    const bool lately =
+        std::min(quiet, now - p.liveness_seen_at) < 2 * ctx_.settings.platform.lease_s;
+    auto it = replica.liveness_records.find(label);
+    const bool asks = now - p.liveness_seen_at < kLivenessPatience * liveness_interval() &&
+                      it != replica.liveness_records.end() &&
                       std::find(it->second.meant_for.begin(), it->second.meant_for.end(), self) !=
                           it->second.meant_for.end();
     due = due || asks || (lately && quiet > silence() / 3);
-    // With one lost, the others that missed a beat are likely lost as well: one sign for all.
+    // With one lost, the others that missed a heartbeat are likely lost as well: one sign for all.
     if (asks || (lately && quiet > silence() / 5)) out.push_back(label);
   }
   if (!due) out.clear();
@@ -118,8 +121,8 @@
 
 double Peers::last_heard_any() const {
   double last = -1e9;
-  for (const auto& [label, p] : peers_) last = std::max({last, p.last_heard, p.sign_at});
+  for (const auto& [label, p] : peers_) last = std::max({last, p.last_heard, p.liveness_seen_at});
   return last;
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::membership
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -5,34 +5,34 @@
 #include <map>
 #include <string>
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/net/peer_codec.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
 
-namespace rooksill::core {
+namespace rooksill::membership {
 
 struct Peer {
-  uint64_t incarnation = 0, seq = 0;
+  uint64_t incarnation = 0, sequence = 0;
   int version = 0;  // of the envelope that came last
   double last_heard = -1e9, first_heard = 0;
-  double sign_at = -1e9;    // when its last life sign for us was seen in the state
-  uint64_t sign_stamp = 0;  // of the last one known
-  net::Beat beat;
+  double liveness_seen_at = -1e9;  // when its last liveness record for us was seen in the state
+  uint64_t liveness_revision = 0;  // of the last one known
+  wire::ControllerHeartbeat heartbeat;
 };
 
 class Peers {
  public:
-  explicit Peers(Context& ctx) : ctx_(ctx) {
+  explicit Peers(runtime::Context& ctx) : ctx_(ctx) {
     for (const auto& p : ctx.settings.platform.peers) peers_[p.label];
   }
 
   // Nothing if the message is malformed, from nobody known, or older than what was heard.
-  std::optional<net::Envelope> receive(const std::string& bytes);
-  void send(const std::string& label, net::PeerKind kind, const std::string& payload);
-  void broadcast(net::PeerKind kind, const std::string& payload);
+  std::optional<wire::Envelope> receive(const std::string& bytes);
+  void send(const std::string& label, wire::PeerKind kind, const std::string& payload);
+  void broadcast(wire::PeerKind kind, const std::string& payload);
   void lost(const std::string& label);
 
-  double sign_pause() const { return kSignReports * ctx_.settings.platform.report_s; }
+  double liveness_interval() const { return kLivenessReports * ctx_.settings.platform.report_s; }
   // From now on in envelopes of this version, which older processes do not take.
   void speak(int version) { version_ = version; }
   // This process stood still for so long: that time is nobody's silence.
@@ -40,11 +40,11 @@
     for (auto& [label, p] : peers_) p.last_heard += for_s;
   }
 
-  // What the state holds of the others' life signs.
-  void see(const Replica& replica);
-  // The controllers that a life sign is owed to: heard until lately, and not now; or not hearing
-  // us.
-  std::vector<std::string> owed(const Replica& replica) const;
+  // What the state holds of the others' liveness records.
+  void see(const store::Replica& replica);
+  // The controllers that a liveness record is owed to: heard until lately, and not now; or not
+  // hearing us.
+  std::vector<std::string> owed(const store::Replica& replica) const;
 
   bool alive(const std::string& label) const;
   bool heard(const std::string& label) const;  // over its own connection
@@ -60,15 +60,15 @@
   }
 
  private:
-  static constexpr double kSignReports = 0.4;  // between two life signs
-  static constexpr double kSignPatience =
+  static constexpr double kLivenessReports = 0.4;  // between two liveness records
+  static constexpr double kLivenessPatience =
       2.5;  // pauses after the last one that a peer counts as alive
 
-  Context& ctx_;
+  runtime::Context& ctx_;
   std::map<std::string, Peer> peers_;
   uint64_t seq_ = 0;
-  int version_ = kFirstVersion;
-  bool signs_known_ = false;
+  int version_ = model::kFirstVersion;
+  bool liveness_known_ = false;
 };
 
-}  // namespace rooksill::core
+}  // namespace rooksill::membership
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -1,13 +1,11 @@
-#include "rooksill/core/upgrade.h"
+#include "rooksill/membership/upgrade.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
-
-using state::Outcome;
+namespace rooksill::membership {
 
 namespace {
 constexpr double kRetryReports = 0.1;  // pause after a write that was not applied
@@ -16,7 +14,8 @@
 void Upgrade::tick(bool leading) {
   if (!replica_.synced || complete(replica_) || busy_ || ctx_.now.steady < next_try_) return;
   const auto own = replica_.versions.find(ctx_.settings.platform.label);
-  const bool recorded = own != replica_.versions.end() && own->second.version == kPresentVersion &&
+  const bool recorded = own != replica_.versions.end() &&
+                        own->second.version == model::kPresentVersion &&
                         own->second.incarnation == ctx_.incarnation;
   if (!recorded)
     record_version();
@@ -24,29 +23,31 @@
     write_upgrade();
 }
 
-bool Upgrade::runs_older_version(const Replica& replica, const std::string& label,
+bool Upgrade::runs_older_version(const store::Replica& replica, const std::string& label,
                                  const Peer& peer) {
-  if (!complete(replica) || !peer.beat.ready || peer.version >= kPresentVersion) return false;
+  if (!complete(replica) || !peer.heartbeat.ready || peer.version >= model::kPresentVersion)
+    return false;
   auto record = replica.versions.find(label);
   return record == replica.versions.end() || record->second.incarnation != peer.incarnation;
 }
 
 void Upgrade::record_version() {
   const std::string& label = ctx_.settings.platform.label;
-  VersionRecord record = replica_.versions[label];
-  const uint64_t known = record.stamp;
-  record.version = kPresentVersion;
+  model::VersionRecord record = replica_.versions[label];
+  const uint64_t known = record.revision;
+  record.version = model::kPresentVersion;
   record.incarnation = ctx_.incarnation;
-  const std::string key = version_key(label);
-  ctx_.info("upgrade", "records version {} of {}", kPresentVersion, label);
-  commit({{key, known}}, {key, encode_version(record), 0});
+  const std::string key = wire::version_key(label);
+  ctx_.info("upgrade", "records version {} of {}", model::kPresentVersion, label);
+  commit({{key, known}}, {key, wire::encode_version(record), 0});
 }
 
 // A record that an earlier process of this label left says nothing of one that was started since
 // with the old version: a peer that is heard under a later incarnation has to record itself first.
 bool Upgrade::has_present_version(const std::string& label) const {
   auto record = replica_.versions.find(label);
-  if (record == replica_.versions.end() || record->second.version < kPresentVersion) return false;
+  if (record == replica_.versions.end() || record->second.version < model::kPresentVersion)
+    return false;
   const Peer* peer = peers_.find(label);
   return peer == nullptr || peer->incarnation <= record->second.incarnation;
 }
@@ -57,21 +58,24 @@
   if (!std::all_of(labels.begin(), labels.end(),
                    [&](const auto& label) { return has_present_version(label); }))
     return;
-  std::vector<state::Guard> guards{{kLeaderKey, replica_.leader.stamp}, {kUpgradeKey, 0}};
+  std::vector<store::Precondition> preconditions{{wire::kLeaderKey, replica_.leader.revision},
+                                                 {wire::kUpgradeKey, 0}};
   for (const auto& label : labels)
-    guards.push_back({version_key(label), replica_.versions[label].stamp});
-  ctx_.info("upgrade", "all {} controllers have version {}", labels.size(), kPresentVersion);
-  commit(guards, {kUpgradeKey, encode_upgrade({0, kPresentVersion}), 0});
+    preconditions.push_back({wire::version_key(label), replica_.versions[label].revision});
+  ctx_.info("upgrade", "all {} controllers have version {}", labels.size(), model::kPresentVersion);
+  commit(preconditions, {wire::kUpgradeKey, wire::encode_upgrade({0, model::kPresentVersion}), 0});
 }
 
-void Upgrade::commit(const std::vector<state::Guard>& guards, state::Write write) {
+void Upgrade::commit(const std::vector<store::Precondition>& preconditions, store::Write write) {
   next_try_ = ctx_.now.steady + kRetryReports * ctx_.settings.platform.report_s;
   const std::string key = write.key;
-  busy_ = committer_.commit(guards, {std::move(write)}, [this, key](const state::TxnResult& r) {
-    if (r.outcome == Outcome::kConflict || r.outcome == Outcome::kUnknown)
-      return committer_.refresh({key}, [this] { busy_ = false; });
-    busy_ = false;
-  });
+  busy_ = committer_.commit(preconditions, {std::move(write)},
+                            [this, key](const store::TransactionResult& r) {
+                              if (r.outcome == store::TransactionOutcome::kConflict ||
+                                  r.outcome == store::TransactionOutcome::kUnknown)
+                                return committer_.refresh({key}, [this] { busy_ = false; });
+                              busy_ = false;
+                            });
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::membership
--- a/src/rooksill/model/model.h
+++ b/src/rooksill/model/model.h
@@ -1,4 +1,4 @@
-// Jobs, tasks and machines as every controller knows them from the state service.
+// Jobs, tasks and machines as every controller knows them from the store.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace rooksill::core {
+namespace rooksill::model {
 
 enum class Shape { kArray, kService, kGang };
 enum class Priority { kIdle = 0, kStandard = 1, kUrgent = 2, kProd = 3 };
@@ -64,8 +64,8 @@
   bool operator==(const TaskState&) const = default;
 };
 
-struct Chunk {
-  uint64_t stamp = 0;  // 0: the key does not exist yet
+struct TaskShard {
+  uint64_t revision = 0;  // 0: the key does not exist yet
   std::vector<TaskState> tasks;
   uint32_t done = 0, placed = 0;
 };
@@ -74,48 +74,48 @@
 
 struct Job {
   JobSpec spec;
-  uint64_t stamp = 0;
+  uint64_t revision = 0;
   JobEnd end = JobEnd::kOpen;
-  double submitted = 0;      // wall clock
-  uint32_t chunk_tasks = 1;  // tasks to a chunk, as the node that accepted the job chose
-  int image = 0;             // the image's number in this process, for quick comparisons
-  std::vector<Chunk> chunks;
+  double submitted = 0;          // wall clock
+  uint32_t tasks_per_shard = 1;  // tasks to a shard, as the node that accepted the job chose
+  int image = 0;                 // the image's number in this process, for quick comparisons
+  std::vector<TaskShard> shards;
   uint32_t done = 0, placed = 0;
   bool over() const { return end != JobEnd::kOpen; }
   bool finished_tasks() const { return done == spec.tasks; }
 };
 
-// A machine in a block. It stays in its block until it is gone for certain.
+// A machine in a partition. It stays in its partition until it is gone for certain.
 struct Machine {
   std::string name, type, zone;
   bool spot = false;
-  int block = 0;
-  int page = 0;       // of its block's list
+  int partition = 0;
+  int page = 0;       // of its partition's list
   double rented = 0;  // wall clock, in whole seconds
 };
 
-// Who may act for a block. Changing this key makes the former holder's transactions fail.
-struct BlockLease {
-  uint64_t stamp = 0;
-  std::string holder;        // label
-  uint64_t incarnation = 0;  // of the holder's process
-  uint64_t token = 0;        // rises with each lease
+// Who may act for a partition. Changing this key makes the former owner's transactions fail.
+struct PartitionLease {
+  uint64_t revision = 0;
+  std::string owner;           // label
+  uint64_t incarnation = 0;    // of the owner's process
+  uint64_t fencing_token = 0;  // rises with each lease
 };
 
 // CPUs and GPUs of a team's limit.
-struct LimitShare {
+struct QuotaShare {
   double cpus = 0, gpus = 0;
 };
 
-// How a team's limit is divided among the blocks. Until the first transfer the state has no such
-// record, and the division is the one that the settings give.
-struct LimitDivision {
-  uint64_t stamp = 0;
-  std::vector<LimitShare> shares;  // by block
+// How a team's limit is divided among the partitions. Until the first transfer the state has no
+// such record, and the division is the one that the settings give.
+struct QuotaDivision {
+  uint64_t revision = 0;
+  std::vector<QuotaShare> shares;  // by partition
 };
 
 struct Leadership {
-  uint64_t stamp = 0;  // 0: vacant
+  uint64_t revision = 0;  // 0: vacant
   std::string label;
   uint64_t incarnation = 0;
   uint64_t term = 0;
@@ -123,8 +123,8 @@
 
 // What a controller leaves in the state for those that it cannot talk to, or that cannot talk to
 // it.
-struct LifeSign {
-  uint64_t stamp = 0, incarnation = 0;
+struct LivenessRecord {
+  uint64_t revision = 0, incarnation = 0;
   bool suspects_itself = false;
   std::vector<std::string> meant_for;  // controllers that it does not hear, or that do not hear it
   std::vector<std::string> silent;     // some of its silent machines
@@ -137,17 +137,17 @@
 
 // The version of a controller's process, as it recorded it itself when it started.
 struct VersionRecord {
-  uint64_t stamp = 0, incarnation = 0;
+  uint64_t revision = 0, incarnation = 0;
   int version = 0;
 };
 
 // Says that every controller has at least this version. Written once.
 struct UpgradeRecord {
-  uint64_t stamp = 0;  // 0: not written yet
+  uint64_t revision = 0;  // 0: not written yet
   int version = 0;
 };
 
-// What a task in a chunk or a machine in a list takes at most of a state value, in bytes: names are
+// What a task in a shard or a machine in a list takes at most of a state value, in bytes: names are
 // at most 100 long.
 inline constexpr size_t kItemBytes = 128;
 // What they take with names of usual length, and their share of what is written once for several.
@@ -155,7 +155,7 @@
 // to it looks at its size.
 inline constexpr size_t kUsualTaskBytes = 32, kUsualMachineBytes = 48;
 inline constexpr size_t kMaxName = 100;
-inline constexpr double kLateBoot = 2.5;  // boot times after which a machine is not counted on
-inline constexpr int kTokenShift = 20;    // a holder raises tokens below its lease's
+inline constexpr double kLateBoot = 2.5;       // boot times after which a machine is not counted on
+inline constexpr int kFencingTokenShift = 20;  // a owner raises tokens below its lease's
 
-}  // namespace rooksill::core
+}  // namespace rooksill::model
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -34,7 +34,7 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::call(const core::Call& call) {
+void HttpClient::call(const runtime::Call& call) {
   auto& idle = idle_[call.address];
   if (!idle.empty()) {
     const uint64_t id = idle.back();
@@ -42,7 +42,7 @@
     return start(*connections_.at(id), call);
   }
   // The state service and the cloud always get their few; workers' share what is left.
-  if (call.target == core::Target::kWorker && connections_.size() >= max_connections_ &&
+  if (call.target == runtime::Target::kWorker && connections_.size() >= max_connections_ &&
       !drop_idle())
     return done_({call.id, 0, "", true});
   Socket s = connect_to(call.address);
@@ -59,7 +59,7 @@
   start(ref, call);
 }
 
-void HttpClient::start(Connection& c, const core::Call& call) {
+void HttpClient::start(Connection& c, const runtime::Call& call) {
   c.busy = true;
   c.call = call.id;
   c.deadline = ev_now(loop_) + call.timeout_s;
@@ -126,7 +126,7 @@
 }
 
 void HttpClient::finish(Connection& c, HttpMessage m) {
-  core::CallDone done{c.call, m.status, std::move(m.body), false};
+  runtime::CallDone done{c.call, m.status, std::move(m.body), false};
   c.busy = false;
   c.deadline = ev_now(loop_) + kIdle;
   auto& idle = idle_[c.address];
@@ -142,7 +142,7 @@
   if (it == connections_.end()) return;
   Connection& c = *it->second;
   if (c.busy) {
-    core::CallDone done{c.call, 0, "", !c.connected};
+    runtime::CallDone done{c.call, 0, "", !c.connected};
     connections_.erase(it);
     done_(std::move(done));
     return;
--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -7,25 +7,25 @@
 #include <memory>
 #include <string>
 
-#include "rooksill/core/io.h"
 #include "rooksill/net/http_parser.h"
 #include "rooksill/net/loop.h"
 #include "rooksill/net/socket.h"
+#include "rooksill/runtime/effects.h"
 
 namespace rooksill::net {
 
 class HttpClient {
  public:
-  using Done = std::function<void(core::CallDone)>;
+  using Done = std::function<void(runtime::CallDone)>;
 
   HttpClient(struct ev_loop* loop, size_t max_connections, Done done);
   ~HttpClient();
-  void call(const core::Call& call);
+  void call(const runtime::Call& call);
 
  private:
   struct Connection;
   void on_io(uint64_t id, int events);
-  void start(Connection& c, const core::Call& call);
+  void start(Connection& c, const runtime::Call& call);
   void write(Connection& c);
   void read(Connection& c);
   // Ends the connection; a call on it gets no answer, unless it can go out once more.
--- a/src/rooksill/partition/owner_gang_placement.cc
+++ b/src/rooksill/partition/owner_gang_placement.cc
@@ -1,15 +1,15 @@
-// Gang jobs inside the blocks that this controller holds: all tasks of an attempt are placed by one
-// change, or none is; once one of them is gone, the rest of the attempt is stopped, and the next
-// attempt waits until all of it is gone.
+// Gang jobs inside the partitions that this controller holds: all tasks of an attempt are placed by
+// one change, or none is; once one of them is gone, the rest of the attempt is stopped, and the
+// next attempt waits until all of it is gone.
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/core/holder.h"
+#include "rooksill/partition/partition_owner.h"
 #include "rooksill/placement/gang_plan.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
+namespace rooksill::partition {
 
 namespace {
 constexpr double kSlack = 1e-9;  // sums of fractions
@@ -18,15 +18,15 @@
 }  // namespace
 
 // Whether a task of the attempt that the state has is gone, or known here to be.
-bool Holder::gang_broken(const Job& job) const {
-  for (uint32_t c = 0; c < job.chunks.size(); ++c) {
-    const Chunk& chunk = job.chunks[c];
+bool PartitionOwner::gang_broken(const model::Job& job) const {
+  for (uint32_t c = 0; c < job.shards.size(); ++c) {
+    const model::TaskShard& shard = job.shards[c];
     auto work = work_.find({job.spec.id, c});
-    for (uint32_t i = 0; i < chunk.tasks.size(); ++i) {
-      const TaskState& t = chunk.tasks[i];
+    for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+      const model::TaskState& t = shard.tasks[i];
       if (t.done) continue;
       if (t.machine.empty()) return true;
-      if (replica_.machine_gone(t.machine) && replica_.lists_cover(chunk)) return true;
+      if (replica_.machine_gone(t.machine) && replica_.lists_cover(shard)) return true;
       if (work == work_.end()) continue;
       const Change* change = change_in(work->second, i);
       if (change != nullptr && change->kind == Change::Kind::kLost) return true;
@@ -37,44 +37,45 @@
 
 // Tells all of a gang's tasks on the machines held here to stop and save, at once: those that are
 // told later than `gang_peer_s` after the first save nothing.
-void Holder::stop_gang(const Job& job) {
-  for (const auto& chunk : job.chunks)
-    for (uint32_t i = 0; i < chunk.tasks.size(); ++i) {
-      const TaskState& t = chunk.tasks[i];
+void PartitionOwner::stop_gang(const model::Job& job) {
+  for (const auto& shard : job.shards)
+    for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+      const model::TaskState& t = shard.tasks[i];
       auto w = workers_.find(t.machine);
       if (t.machine.empty() || w == workers_.end()) continue;
-      const uint32_t first = static_cast<uint32_t>(&chunk - job.chunks.data()) * job.chunk_tasks;
+      const uint32_t first =
+          static_cast<uint32_t>(&shard - job.shards.data()) * job.tasks_per_shard;
       if (!evicted_.insert_or_assign({job.spec.id, first + i}, t.attempt).second) continue;
       attend(w->second);
     }
 }
 
 // The number of the next attempt, if all tasks of the one before are gone for certain.
-std::optional<uint64_t> Holder::next_gang_attempt(const Job& job) const {
-  const Chunk& chunk = job.chunks.front();
+std::optional<uint64_t> PartitionOwner::next_gang_attempt(const model::Job& job) const {
+  const model::TaskShard& shard = job.shards.front();
   auto own = work_.find({job.spec.id, 0});
   uint64_t last = 0;
-  for (uint32_t i = 0; i < chunk.tasks.size(); ++i) {
-    const TaskState& t = chunk.tasks[i];
+  for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+    const model::TaskState& t = shard.tasks[i];
     last = std::max(last, t.attempt);
     const Change* change = own == work_.end() ? nullptr : change_in(own->second, i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
       if (change->kind != Change::Kind::kLost || own->second.busy) return std::nullopt;
-    } else if (!replica_.waits(t) || (!t.machine.empty() && !replica_.lists_cover(chunk))) {
+    } else if (!replica_.waits(t) || (!t.machine.empty() && !replica_.lists_cover(shard))) {
       return std::nullopt;
     }
   }
   return last + 1;
 }
 
-std::vector<placement::GangOption> Holder::gang_options(const Job& job,
-                                                        const std::vector<Worker*>& workers) {
+std::vector<placement::GangOption> PartitionOwner::gang_options(
+    const model::Job& job, const std::vector<Worker*>& workers) {
   std::vector<placement::GangOption> out;
   out.reserve(workers.size());
   for (const Worker* w : workers) {
     const Room& room = w->room;
-    placement::GangOption option{room.zone, room.block, 0, 0, 0};
+    placement::GangOption option{room.zone, room.partition, 0, 0, 0};
     if (allowed(job.spec, *w)) option.slots = slots(job.spec, *w);
     if (option.slots > 0) {
       option.score = score(job, *w);
@@ -87,22 +88,22 @@
   return out;
 }
 
-std::map<int, double> Holder::gang_tasks_left(const JobSpec& s) {
+std::map<int, double> PartitionOwner::gang_tasks_left(const model::JobSpec& s) {
   std::map<int, double> out;
-  for (const auto& [block, stamp] : held_) {
-    const auto& used = team_use_[{block, s.team}];
-    const LimitShare& share = team_share(s.team, block);
+  for (const auto& [partition, revision] : owned_) {
+    const auto& used = quota_use_[{partition, s.team}];
+    const model::QuotaShare& share = team_quota(s.team, partition);
     const double left = s.tasks_in(share.cpus - used.first, share.gpus - used.second,
                                    std::numeric_limits<double>::infinity());
-    out[block] = std::clamp<double>(left, 0, s.tasks);
+    out[partition] = std::clamp<double>(left, 0, s.tasks);
   }
   return out;
 }
 
-void Holder::place_gang(const Candidate& c, const std::vector<Worker*>& workers) {
-  const Job& job = *c.job;
-  const JobSpec& s = job.spec;
-  if (job.chunks.size() != 1) return;
+void PartitionOwner::place_gang(const Candidate& c, const std::vector<Worker*>& workers) {
+  const model::Job& job = *c.job;
+  const model::JobSpec& s = job.spec;
+  if (job.shards.size() != 1) return;
   const auto attempt = next_gang_attempt(job);
   if (!attempt) return;
   const auto options = gang_options(job, workers);
@@ -114,8 +115,9 @@
   for (const auto& place : plan) {
     Worker& w = *workers[place.option];
     for (uint32_t k = 0; k < place.tasks; ++k) {
-      const TaskRef ref{s.id, next++};
-      change(ref, {Change::Kind::kPlace, w.name, *attempt, w.room.block, basis(job, w.room.block)});
+      const model::TaskRef ref{s.id, next++};
+      change(ref, {Change::Kind::kPlace, w.name, *attempt, w.room.partition,
+                   basis(job, w.room.partition)});
     }
     ctx_.debug("placer", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}", place.tasks,
                s.id, *attempt, w.name, ctx_.now.wall - job.submitted,
@@ -126,8 +128,9 @@
 
 // Stops work of lower priority if that makes room for the whole gang, and keeps what is free from
 // whoever comes after it in this pass: smaller jobs would take it each time.
-void Holder::make_room_for_gang(const Job& job, const std::vector<Worker*>& workers) {
-  const JobSpec& s = job.spec;
+void PartitionOwner::make_room_for_gang(const model::Job& job,
+                                        const std::vector<Worker*>& workers) {
+  const model::JobSpec& s = job.spec;
   std::map<std::string, double> could_hold;  // by zone
   for (const Worker* w : workers) {
     if (!allowed(s, *w) || s.cpus <= 0) continue;
@@ -156,8 +159,8 @@
     taken.memory += here * s.memory_gb;
     missing -= here;
   }
-  if (enough && missing > 0 && s.priority > Priority::kIdle)
+  if (enough && missing > 0 && s.priority > model::Priority::kIdle)
     make_room(job, missing, workers, {}, zone, false);
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::partition
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -1,13 +1,13 @@
-// Placement inside the blocks that this controller holds.
+// Placement inside the partitions that this controller holds.
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/core/holder.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/partition/partition_owner.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
+namespace rooksill::partition {
 
 namespace {
 // Part of an ordinary machine that work which may use cheap machines leaves to work which may not.
@@ -20,28 +20,28 @@
 constexpr double kOrdinaryStop = 5;  // what one counts that is not for urgent work
 constexpr double kSlack = 1e-9;      // sums of fractions
 constexpr double kPause = 0.025;     // s between two passes; longer, the more waits
-constexpr double kSlowedBy = 200;    // waiting chunks that double it
+constexpr double kSlowedBy = 200;    // waiting shards that double it
 }  // namespace
 
 // ---- room ----------------------------------------------------------------------------------
 
-void Holder::forget_room(Worker& w) {
+void PartitionOwner::forget_room(Worker& w) {
   for (const auto& [team, used] : w.room.teams) {
-    auto& all = team_use_[{w.room.block, team}];
+    auto& all = quota_use_[{w.room.partition, team}];
     all.first -= used.first;
     all.second -= used.second;
   }
   w.room.teams.clear();
 }
 
-void Holder::work_out_room(Worker& w) {
+void PartitionOwner::work_out_room(Worker& w) {
   w.room_stale = false;
   forget_room(w);
   Room& room = w.room;
   room = Room{};
-  const Machine* m = replica_.machine(w.name);
+  const model::Machine* m = replica_.machine(w.name);
   if (m == nullptr) return;
-  room.block = m->block;
+  room.partition = m->partition;
   room.spot = m->spot;
   room.zone = m->zone;
   auto type = replica_.types.find(m->type);
@@ -51,8 +51,8 @@
     room.gpus = room.type->gpus;
     room.memory = room.type->memory_gb;
   }
-  auto use = [&](const Job& job, double sign) {
-    const JobSpec& s = job.spec;
+  auto use = [&](const model::Job& job, double sign) {
+    const model::JobSpec& s = job.spec;
     room.cpus -= sign * s.cpus;
     room.gpus -= sign * s.gpus;
     room.memory -= sign * s.memory_gb;
@@ -70,57 +70,58 @@
   };
   const auto& placed = replica_.placed_on(w.name);
   for (const auto& ref : placed) {
-    const Job& job = *replica_.job(ref.job);
+    const model::Job& job = *replica_.job(ref.job);
     use(job, 1);
     auto e = evicted_.find(ref);
-    const TaskState* t = replica_.task(ref);
+    const model::TaskState* t = replica_.task(ref);
     if (e != evicted_.end() && t != nullptr && e->second == t->attempt) {
       room.leaving_cpus += job.spec.cpus;
       room.leaving_gpus += job.spec.gpus;
       room.leaving_memory += job.spec.memory_gb;
-    } else if (job.spec.shape != Shape::kGang) {  // a gang makes no room: it goes whole or not
+    } else if (job.spec.shape !=
+               model::Shape::kGang) {  // a gang makes no room: it goes whole or not
       room.cpus_by_priority[static_cast<size_t>(job.spec.priority)] += job.spec.cpus;
     }
   }
-  std::set<TaskRef> ended;
+  std::set<model::TaskRef> ended;
   for (const auto& t : w.tasks) {
-    const Job* job = replica_.job(t.task.job);
-    const TaskState* s = replica_.task(t.task);
+    const model::Job* job = replica_.job(t.task.job);
+    const model::TaskState* s = replica_.task(t.task);
     if (job == nullptr || s == nullptr) continue;
     const bool here = s->machine == w.name && s->attempt == t.attempt;
     // What has ended uses nothing any more, though its result is not written yet. What should not
     // be there holds its room until it is gone.
-    if (t.phase == worker::Phase::kExited && here && placed.count(t.task) != 0) {
+    if (t.phase == wire::TaskPhase::kExited && here && placed.count(t.task) != 0) {
       use(*job, -1);
       ended.insert(t.task);
-    } else if (t.phase != worker::Phase::kExited && !here)
+    } else if (t.phase != wire::TaskPhase::kExited && !here)
       use(*job, 1);
   }
   // One that has ended here and is to start here again is in the state already, and counts anew.
   for (const auto& ref : w.placing)
-    if (const Job* job = replica_.job(ref.job);
+    if (const model::Job* job = replica_.job(ref.job);
         job != nullptr && (placed.count(ref) == 0 || ended.count(ref) != 0))
       use(*job, 1);
   for (const auto& [team, used] : room.teams) {
-    auto& all = team_use_[{room.block, team}];
+    auto& all = quota_use_[{room.partition, team}];
     all.first += used.first;
     all.second += used.second;
   }
 }
 
-const Room& Holder::room_of(Worker& w) {
+const Room& PartitionOwner::room_of(Worker& w) {
   if (w.room_stale) work_out_room(w);
   return w.room;
 }
 
-bool Holder::open(const Worker& w) const {
+bool PartitionOwner::open(const Worker& w) const {
   const bool heard =
-      quiet_for(w) < kProbeReports * ctx_.settings.platform.report_s || !w.probe_failed;
-  return w.room.type != nullptr && w.reported && heard && !w.bad && !w.notice_until &&
+      silence_of(w) < kProbeReports * ctx_.settings.platform.report_s || !w.probe_failed;
+  return w.room.type != nullptr && w.reported && heard && !w.bad && !w.terminates_at &&
          drain_.count(w.name) == 0 && w.avoid_until <= ctx_.now.steady;
 }
 
-std::vector<Worker*> Holder::open_workers() {
+std::vector<Worker*> PartitionOwner::open_workers() {
   std::vector<Worker*> out;
   for (auto& [name, w] : workers_) {
     room_of(w);
@@ -129,18 +130,18 @@
   return out;
 }
 
-bool Holder::allowed(const JobSpec& s, const Worker& w) const {
+bool PartitionOwner::allowed(const model::JobSpec& s, const Worker& w) const {
   const Room& r = w.room;
   if (r.spot && !s.spot) return false;
   if (!s.zone.empty() && s.zone != r.zone) return false;
   return s.allows_type(r.type->name);
 }
 
-bool Holder::fits(const JobSpec& s, double cpus, double gpus, double memory) {
+bool PartitionOwner::fits(const model::JobSpec& s, double cpus, double gpus, double memory) {
   return s.cpus <= cpus + kSlack && s.gpus <= gpus + kSlack && s.memory_gb <= memory + kSlack;
 }
 
-double Holder::reserve(const JobSpec& s, const Room& r) const {
+double PartitionOwner::reserve(const model::JobSpec& s, const Room& r) const {
   if (r.spot || !s.spot) return 0;
   // Work that saves and is gone before anybody's start is late need not leave room free.
   double soonest = std::numeric_limits<double>::infinity();
@@ -150,37 +151,39 @@
   // it would never run there.
   const double kept = kOrdinaryReserve * r.type->cpus;
   if (std::isinf(soonest) || s.cpus > r.type->cpus - kept) return 0;
-  if (s.priority < Priority::kUrgent && s.checkpoint_s > 0 && s.save_s < 0.75 * soonest) return 0;
+  if (s.priority < model::Priority::kUrgent && s.checkpoint_s > 0 && s.save_s < 0.75 * soonest)
+    return 0;
   return kept;
 }
 
-// What the team may use in the block, less what is on its way to another one.
-const LimitShare& Holder::team_share(const std::string& team, int block) {
-  auto [it, fresh] = shares_.try_emplace({block, team});
+// What the team may use in the partition, less what is on its way to another one.
+const model::QuotaShare& PartitionOwner::team_quota(const std::string& team, int partition) {
+  auto [it, fresh] = shares_.try_emplace({partition, team});
   if (!fresh) return it->second;
-  it->second = placement::limit_share(ctx_.settings, replica_, team, block);
-  const LimitShare leaving = transfers_.leaving(team, block);
+  it->second = quota::quota_share(ctx_.settings, replica_, team, partition);
+  const model::QuotaShare leaving = transfers_.leaving(team, partition);
   it->second.cpus -= leaving.cpus;
   it->second.gpus -= leaving.gpus;
   return it->second;
 }
 
-bool Holder::within_limit(const JobSpec& s, int block) {
-  const auto& used = team_use_[{block, s.team}];
-  const LimitShare& share = team_share(s.team, block);
+bool PartitionOwner::within_quota(const model::JobSpec& s, int partition) {
+  const auto& used = quota_use_[{partition, s.team}];
+  const model::QuotaShare& share = team_quota(s.team, partition);
   return used.first + s.cpus <= share.cpus + kSlack && used.second + s.gpus <= share.gpus + kSlack;
 }
 
-// Whether what the team has in the machine's block, with what is placed there, is too much already.
-bool Holder::beyond_share(const std::string& team, Worker& w) {
+// Whether what the team has in the machine's partition, with what is placed there, is too much
+// already.
+bool PartitionOwner::exceeds_quota(const std::string& team, Worker& w) {
   room_of(w);
-  const auto& used = team_use_[{w.block, team}];
-  const LimitShare& share = team_share(team, w.block);
+  const auto& used = quota_use_[{w.partition, team}];
+  const model::QuotaShare& share = team_quota(team, w.partition);
   return used.first > share.cpus + kSlack || used.second > share.gpus + kSlack;
 }
 
 // How many more tasks of this kind a machine takes.
-uint32_t Holder::slots(const JobSpec& s, const Worker& w) {
+uint32_t PartitionOwner::slots(const model::JobSpec& s, const Worker& w) {
   const Room& r = w.room;
   const double kept = reserve(s, r);
   double n = 1e6;
@@ -193,16 +196,16 @@
   part(r.gpus - taken.gpus, s.gpus);
   part(r.memory - taken.memory, s.memory_gb);
   if (n < 1) return 0;
-  const auto& used = team_use_[{r.block, s.team}];
-  const LimitShare& share = team_share(s.team, r.block);
+  const auto& used = quota_use_[{r.partition, s.team}];
+  const model::QuotaShare& share = team_quota(s.team, r.partition);
   part(share.cpus - used.first, s.cpus);
   part(share.gpus - used.second, s.gpus);
   return n < 1 ? 0 : static_cast<uint32_t>(n);
 }
 
 // The smaller, the better a place.
-double Holder::score(const Job& job, const Worker& w) const {
-  const JobSpec& s = job.spec;
+double PartitionOwner::score(const model::Job& job, const Worker& w) const {
+  const model::JobSpec& s = job.spec;
   const Room& r = w.room;
   double out = 0;
   // An image that is there already starts at once; one on its way costs its share of the wait.
@@ -229,19 +232,20 @@
 
 // Makes room for so many tasks by stopping work of lower priority. Says for how many of them room
 // is on its way, also from what was stopped before.
-uint32_t Holder::make_room(const Job& job, uint32_t count, const std::vector<Worker*>& workers,
-                           const std::map<std::string, uint32_t>& zones,
-                           const std::string& only_zone, bool only_cached) {
-  const JobSpec& s = job.spec;
+uint32_t PartitionOwner::make_room(const model::Job& job, uint32_t count,
+                                   const std::vector<Worker*>& workers,
+                                   const std::map<std::string, uint32_t>& zones,
+                                   const std::string& only_zone, bool only_cached) {
+  const model::JobSpec& s = job.spec;
   std::map<std::string, uint32_t> in_zone = zones;
   uint32_t made = 0;
-  const bool array = s.shape == Shape::kArray;
-  const double stop = s.priority >= Priority::kUrgent ? 1 : kOrdinaryStop;
+  const bool array = s.shape == model::Shape::kArray;
+  const double stop = s.priority >= model::Priority::kUrgent ? 1 : kOrdinaryStop;
   auto usable = [&](const Worker& w) {
     if (!allowed(s, w) || (!only_zone.empty() && w.room.zone != only_zone)) return false;
     if (s.spread && in_zone[w.room.zone] >= s.most_in_zone()) return false;
     if (only_cached && !w.has_image(job.image)) return false;
-    return within_limit(s, w.room.block);
+    return within_quota(s, w.room.partition);
   };
   auto lower = [&](const Room& r) {
     double sum = 0;
@@ -282,10 +286,11 @@
     if (made >= count || evictions_ >= kMaxEvictions || (array && stops_left_ < stop)) break;
     if (!usable(*w)) continue;
     Unmet& taken = promised_[w];
-    std::vector<std::pair<Priority, TaskRef>> lowers;
+    std::vector<std::pair<model::Priority, model::TaskRef>> lowers;
     for (const auto& ref : replica_.placed_on(w->name)) {
-      const JobSpec& other = replica_.job(ref.job)->spec;
-      if (other.priority < s.priority && other.shape != Shape::kGang && evicted_.count(ref) == 0)
+      const model::JobSpec& other = replica_.job(ref.job)->spec;
+      if (other.priority < s.priority && other.shape != model::Shape::kGang &&
+          evicted_.count(ref) == 0)
         lowers.emplace_back(other.priority, ref);
     }
     std::sort(lowers.begin(), lowers.end());
@@ -298,15 +303,15 @@
              memory = r.memory + r.leaving_memory - taken.memory;
       auto until = victim;
       for (; until != lowers.end() && !fits(s, cpus, gpus, memory); ++until) {
-        const JobSpec& other = replica_.job(until->second.job)->spec;
+        const model::JobSpec& other = replica_.job(until->second.job)->spec;
         cpus += other.cpus;
         gpus += other.gpus;
         memory += other.memory_gb;
       }
       if (!fits(s, cpus, gpus, memory)) break;
       for (; victim != until; ++victim) {
-        const TaskRef& ref = victim->second;
-        ctx_.debug("placer", "task {} on {} is stopped to make room for {}", task_name(ref),
+        const model::TaskRef& ref = victim->second;
+        ctx_.debug("placer", "task {} on {} is stopped to make room for {}", wire::task_name(ref),
                    w->name, s.id);
         ctx_.count("tasks_stopped");
         if (array) stops_left_ -= stop;
@@ -333,8 +338,8 @@
 
 // When a job should be done: the first of its class's limits that it can still meet. What can meet
 // none comes after everything that can.
-double Holder::due_time(const Job& job) const {
-  const JobSpec& s = job.spec;
+double PartitionOwner::due_time(const model::Job& job) const {
+  const model::JobSpec& s = job.spec;
   const double now = ctx_.now.wall;
   double due = std::numeric_limits<double>::infinity(), last = 0;
   for (const auto& o : ctx_.settings.platform.objectives) {
@@ -353,19 +358,19 @@
   return std::isinf(due) ? last + kHopeless : due;
 }
 
-void Holder::place() {
-  if (!place_wanted_ || ctx_.now.steady < next_place_) return;
-  place_wanted_ = false;
-  if (held_.empty() || routed_.empty()) return;
+void PartitionOwner::place() {
+  if (!placement_requested_ || ctx_.now.steady < next_place_) return;
+  placement_requested_ = false;
+  if (owned_.empty() || routed_.empty()) return;
   std::vector<Candidate> waiting;
   for (auto it = routed_.begin(); it != routed_.end();) {
-    const Job* job = replica_.job(it->first);
-    if (job != nullptr && (job->over() || it->second >= job->chunks.size())) {
+    const model::Job* job = replica_.job(it->first);
+    if (job != nullptr && (job->over() || it->second >= job->shards.size())) {
       it = routed_.erase(it);
       continue;
     }
     if (job != nullptr) {
-      const Chunk& c = job->chunks[it->second];
+      const model::TaskShard& c = job->shards[it->second];
       const bool ended = work_.count(*it) != 0;  // and may have a place to find anew
       if ((ended || c.done + c.placed < c.tasks.size()) && !backing_off(it->first))
         waiting.push_back({job, it->second, due_time(*job)});
@@ -378,7 +383,7 @@
     if (a.job->spec.priority != b.job->spec.priority)
       return a.job->spec.priority > b.job->spec.priority;
     if (a.due != b.due) return a.due < b.due;
-    return std::pair(a.job->spec.id, a.chunk) < std::pair(b.job->spec.id, b.chunk);
+    return std::pair(a.job->spec.id, a.shard) < std::pair(b.job->spec.id, b.shard);
   });
   cheapest_ = std::numeric_limits<double>::infinity();
   for (const auto& [name, t] : replica_.types)
@@ -395,18 +400,18 @@
   stops_at_ = ctx_.now.steady;
   const auto workers = open_workers();
   for (const auto& c : waiting)
-    if (c.job->spec.shape == Shape::kGang)
+    if (c.job->spec.shape == model::Shape::kGang)
       place_gang(c, workers);
     else if (may_decide(c))
-      place_chunk(c, workers);
+      place_shard(c, workers);
 }
 
-void Holder::place_chunk(const Candidate& c, const std::vector<Worker*>& workers) {
-  const Job& job = *c.job;
-  const JobSpec& s = job.spec;
-  const Chunk& chunk = job.chunks[c.chunk];
+void PartitionOwner::place_shard(const Candidate& c, const std::vector<Worker*>& workers) {
+  const model::Job& job = *c.job;
+  const model::JobSpec& s = job.spec;
+  const model::TaskShard& shard = job.shards[c.shard];
   // Where no smaller need was met, this one will not be. Looked at before anything else: of a long
-  // queue nearly all chunks end here.
+  // queue nearly all shards end here.
   const bool plain = s.zone.empty() && s.types.empty() && !s.spread && !s.one_zone;
   const int kind =
       (s.spot ? 1 : 0) + (s.checkpoint_s > 0 ? 2 : 0) + 4 * static_cast<int>(s.priority);
@@ -414,17 +419,17 @@
   if (plain && known != unmet_.end() && s.cpus >= known->second.cpus &&
       s.gpus >= known->second.gpus && s.memory_gb >= known->second.memory)
     return;
-  // Tasks of one chunk are alike: all of them look for places at once.
+  // Tasks of one shard are alike: all of them look for places at once.
   std::vector<uint32_t> todo;
-  auto own = work_.find({s.id, c.chunk});
-  const ChunkWork* pending = own == work_.end() ? nullptr : &own->second;
-  for (uint32_t i = 0; i < chunk.tasks.size(); ++i) {
-    const TaskState& t = chunk.tasks[i];
+  auto own = work_.find({s.id, c.shard});
+  const ShardWork* pending = own == work_.end() ? nullptr : &own->second;
+  for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+    const model::TaskState& t = shard.tasks[i];
     const Change* change = pending == nullptr ? nullptr : change_in(*pending, i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
       if (change->kind == Change::Kind::kLost && !pending->busy) todo.push_back(i);
-    } else if (replica_.waits(t) && (t.machine.empty() || replica_.lists_cover(chunk))) {
+    } else if (replica_.waits(t) && (t.machine.empty() || replica_.lists_cover(shard))) {
       todo.push_back(i);
     }
   }
@@ -433,14 +438,14 @@
   std::string only_zone;
   if (s.spread || s.one_zone) {
     auto count = [&](const std::string& machine) {
-      const Machine* m = replica_.machine(machine);
+      const model::Machine* m = replica_.machine(machine);
       if (m == nullptr) return;
       ++zones[m->zone];
       if (s.one_zone) only_zone = m->zone;
     };
-    for (uint32_t k = 0; k < job.chunks.size(); ++k) {
+    for (uint32_t k = 0; k < job.shards.size(); ++k) {
       auto work = work_.find({s.id, k});
-      const auto& tasks = job.chunks[k].tasks;
+      const auto& tasks = job.shards[k].tasks;
       for (uint32_t i = 0; i < tasks.size(); ++i) {
         if (tasks[i].machine.empty()) continue;
         // What has ended there is there no more, though that is not written yet.
@@ -450,8 +455,8 @@
         };
         if (work != work_.end() && ended(work->second.waiting)) continue;
         // A machine that is in no list here may have been dealt since the lists were known, and its
-        // zone is not known then: others' chunks come faster than the watch.
-        if (replica_.machine_gone(tasks[i].machine) && !replica_.lists_cover(job.chunks[k])) return;
+        // zone is not known then: others' shards come faster than the watch.
+        if (replica_.machine_gone(tasks[i].machine) && !replica_.lists_cover(job.shards[k])) return;
         count(tasks[i].machine);
       }
       if (work == work_.end()) continue;
@@ -486,7 +491,7 @@
   std::sort(places.begin(), places.end(), [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first < b.first : a.second->name < b.second->name;
   });
-  const bool quick = s.shape == Shape::kService && s.priority == Priority::kProd;
+  const bool quick = s.shape == model::Shape::kService && s.priority == model::Priority::kProd;
   size_t next = 0;
   bool asked = false;
   for (const auto& [score_there, w] : places) {
@@ -503,11 +508,11 @@
         {slots(s, *w), zone_left(w->room.zone), static_cast<uint32_t>(todo.size() - next)});
     for (uint32_t k = 0; k < here; ++k) {
       const uint32_t i = todo[next++];
-      const uint64_t attempt = chunk.tasks[i].attempt + 1;
-      const TaskRef ref{s.id, c.chunk * job.chunk_tasks + i};
-      change(ref,
-             {Change::Kind::kPlace, w->name, attempt, w->room.block, basis(job, w->room.block)});
-      ctx_.debug("placer", "task {} attempt {} goes to {} after {:.2f} s{}", task_name(ref),
+      const uint64_t attempt = shard.tasks[i].attempt + 1;
+      const model::TaskRef ref{s.id, c.shard * job.tasks_per_shard + i};
+      change(ref, {Change::Kind::kPlace, w->name, attempt, w->room.partition,
+                   basis(job, w->room.partition)});
+      ctx_.debug("placer", "task {} attempt {} goes to {} after {:.2f} s{}", wire::task_name(ref),
                  attempt, w->name, ctx_.now.wall - job.submitted,
                  w->has_image(job.image) ? "" : ", image not there");
     }
@@ -517,7 +522,7 @@
   }
   if (next >= todo.size()) return;
   const auto left = static_cast<uint32_t>(todo.size() - next);
-  if (s.priority > Priority::kIdle && evictions_ < kMaxEvictions)
+  if (s.priority > model::Priority::kIdle && evictions_ < kMaxEvictions)
     if (make_room(job, left, workers, zones, only_zone, false) >= left) return;
   if (!plain) return;
   const bool smaller =
@@ -526,4 +531,4 @@
   if (smaller) unmet_[kind] = {s.cpus, s.gpus, s.memory_gb};
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::partition
