--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -1,17 +1,12 @@
-#include "rooksill/core/holder.h"
+#include "rooksill/partition/partition_owner.h"
 
 #include <algorithm>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/core/socket_shares.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/runtime/socket_budget.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
-
-using state::Outcome;
-using worker::Cause;
-using worker::Order;
-using worker::Phase;
+namespace rooksill::partition {
 
 namespace {
 constexpr int kMaxInFlight = 2;
@@ -27,25 +22,26 @@
 constexpr int kSuspectJob = 3;           // machines a job must fail on to be suspected itself
 constexpr int kSuspectMachine = 3;       // failures in a row that make a machine suspect
 constexpr double kMaxBackoffReports = 10;
-constexpr size_t kMaxOrders = 64;    // in one command
+constexpr size_t kMaxCommands = 64;  // in one command
 constexpr size_t kTurns = 16;        // calls in which all views and addresses are told again
 constexpr double kDeferReports = 3;  // results that complete nothing are gathered for so long
 constexpr size_t kGroupBytes =
     size_t{40} * 1024;             // of a transaction, well below the protocol's most
 constexpr double kTxnShare = 0.6;  // part of a second's writes that one transaction may take
 // Parts of the writes left to others: by decisions to results, by gathered results to both.
-constexpr double kDecisionReserve = 0.1, kGatheredReserve = 0.4;
+constexpr double kDecisionReserve = 0.1, kDeferredReserve = 0.4;
 constexpr double kDecidedAhead = 0.25;  // s of writes that decisions may wait for
 constexpr int kFirstDecision = 1;       // rank of decisions of the highest priority
-constexpr int kGathered = 5;            // rank of results that complete nothing
+constexpr int kDeferred = 5;            // rank of results that complete nothing
 }  // namespace
 
 bool Worker::has_image(int image) const {
   return std::any_of(images.begin(), images.end(), [&](const auto& i) { return i.first == image; });
 }
 
-Holder::Holder(Context& ctx, Replica& replica, state::Client& client, state::Committer& committer,
-               const Cancellations& cancellations)
+PartitionOwner::PartitionOwner(runtime::Context& ctx, store::Replica& replica,
+                               store::Client& client, store::Committer& committer,
+                               const membership::Cancellations& cancellations)
     : ctx_(ctx),
       replica_(replica),
       client_(client),
@@ -53,22 +49,25 @@
       cancellations_(cancellations),
       transfers_(ctx, replica, committer) {}
 
-// A block that went to another and came back within a batch is not the one that was held.
-bool Holder::holds(int block) const {
-  auto it = held_.find(block);
-  return it != held_.end() && it->second == replica_.leases[static_cast<size_t>(block)].stamp;
+// A partition that went to another and came back within a batch is not the one that was held.
+bool PartitionOwner::owns(int partition) const {
+  auto it = owned_.find(partition);
+  return it != owned_.end() &&
+         it->second == replica_.leases[static_cast<size_t>(partition)].revision;
 }
 
-bool Holder::backing_off(const std::string& job) const {
+bool PartitionOwner::backing_off(const std::string& job) const {
   auto it = troubles_.find(job);
   return it != troubles_.end() && it->second.retry_at > ctx_.now.steady;
 }
 
-std::optional<net::Sighting> Holder::take_sighting() { return std::exchange(sighting_, {}); }
+std::optional<wire::UnassignedMachine> PartitionOwner::take_unassigned_machine() {
+  return std::exchange(unassigned_machine_, {});
+}
 
 // Whatever concerns this worker is looked at once more at the end of the batch.
-void Holder::attend(Worker& w) {
-  w.room_stale = w.view_stale = true;
+void PartitionOwner::attend(Worker& w) {
+  w.room_stale = w.status_changed = true;
   w.settled = false;
   if (w.attention) return;
   w.attention = true;
@@ -77,18 +76,18 @@
 
 // ---- leases --------------------------------------------------------------------------------
 
-void Holder::activate(int block) {
-  const BlockLease& lease = replica_.leases[static_cast<size_t>(block)];
-  held_[block] = lease.stamp;
-  ctx_.info("holder", "block {} taken, token {}", block, lease.token);
-  drop_workers(block);
-  for (const auto& page : replica_.pages[static_cast<size_t>(block)])
+void PartitionOwner::activate(int partition) {
+  const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
+  owned_[partition] = lease.revision;
+  ctx_.info("holder", "block {} taken, token {}", partition, lease.fencing_token);
+  drop_workers(partition);
+  for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
     replica_.touched_machines.insert(page.names.begin(), page.names.end());
 }
 
-void Holder::drop_workers(int block) {
+void PartitionOwner::drop_workers(int partition) {
   for (auto it = workers_.begin(); it != workers_.end();) {
-    if (it->second.block == block) {
+    if (it->second.partition == partition) {
       forget_room(it->second);
       it = workers_.erase(it);
     } else {
@@ -97,27 +96,27 @@
   }
 }
 
-void Holder::tick() {
+void PartitionOwner::tick() {
   const auto& label = ctx_.settings.platform.label;
   for (int b = 0; b < static_cast<int>(replica_.leases.size()); ++b) {
-    const BlockLease& lease = replica_.leases[static_cast<size_t>(b)];
-    const bool mine = lease.holder == label && lease.incarnation == ctx_.incarnation;
-    // Whatever the former holder wrote has a lower revision than the lease; it must be known
+    const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(b)];
+    const bool mine = lease.owner == label && lease.incarnation == ctx_.incarnation;
+    // Whatever the former owner wrote has a lower revision than the lease; it must be known
     // here before a worker's tasks are judged.
-    if (mine && !holds(b) && replica_.synced_epoch >= lease.stamp) {
+    if (mine && !owns(b) && replica_.synced_revision >= lease.revision) {
       activate(b);
-    } else if (held_.count(b) != 0 && !holds(b)) {
-      ctx_.info("holder", "block {} given up, now with {}", b, lease.holder);
-      held_.erase(b);
+    } else if (owned_.count(b) != 0 && !owns(b)) {
+      ctx_.info("holder", "block {} given up, now with {}", b, lease.owner);
+      owned_.erase(b);
       drop_workers(b);
     }
   }
 }
 
 // What a batch changed in the state concerns the machines it names, and no others.
-void Holder::look() {
+void PartitionOwner::look() {
   for (const auto& name : replica_.touched_machines) {
-    const Machine* m = replica_.machine(name);
+    const model::Machine* m = replica_.machine(name);
     auto it = workers_.find(name);
     if (it != workers_.end()) {
       if (m == nullptr) {
@@ -132,12 +131,14 @@
       addresses_.erase(name);
       continue;
     }
-    if (!holds(m->block)) continue;
+    if (!owns(m->partition)) continue;
     Worker w;
     w.name = name;
-    w.block = m->block;
-    w.token = replica_.leases[static_cast<size_t>(m->block)].token << kTokenShift;
-    w.dirty = w.token - 1;  // any former holder's command may still be under way
+    w.partition = m->partition;
+    w.fencing_token = replica_.leases[static_cast<size_t>(m->partition)].fencing_token
+                      << model::kFencingTokenShift;
+    w.unacknowledged_token =
+        w.fencing_token - 1;  // any former owner's command may still be under way
     w.last_heard = w.last_report = ctx_.now.steady;
     auto a = addresses_.find(name);
     if (a != addresses_.end()) w.address = a->second;
@@ -146,7 +147,7 @@
 }
 
 // Now and then: what only time changes.
-void Holder::scan() {
+void PartitionOwner::check_timeouts() {
   const double report = ctx_.settings.platform.report_s;
   const double silence = ctx_.settings.operators.machine_silence_reports * report;
   size_t up = 0, silent = 0, mute = 0;
@@ -156,37 +157,38 @@
     // Replicas start over in place within moments of each lease's end, so those may stay for
     // longer.
     const double leases = replica_.load(w.name).replica_cpus > 0 ? kMuteReplicaLeases : kMuteLeases;
-    return w.reported && ctx_.now.steady - std::max({w.last_report, w.heard_since, ctx_.woke}) >
-                             leases * ctx_.settings.platform.lease_s;
+    return w.reported &&
+           ctx_.now.steady - std::max({w.last_report, w.heard_since, ctx_.resumed_at}) >
+               leases * ctx_.settings.platform.lease_s;
   };
   for (const auto& [name, w] : workers_) mute += is_mute(w) ? 1 : 0;
   const bool few_mute = mute * 2 <= workers_.size();
   for (auto& [name, w] : workers_) {
     probe(w);
-    const double age = quiet_for(w);
+    const double age = silence_of(w);
     const bool expected = w.reported || !replica_.placed_on(name).empty();
     const bool late = expected && w.probe_failed && age > kProbeReports * report;
     if (expected) ++up;
     if (late) ++silent;
-    const bool is_silent = (late && (age > silence || w.notice_until)) || (few_mute && is_mute(w));
+    const bool is_silent = (late && (age > silence || w.terminates_at)) || (few_mute && is_mute(w));
     if (is_silent != w.silent) {
       w.silent = is_silent;
-      w.view_stale = true;
+      w.status_changed = true;
     }
   }
   suspect(silent, up);
   judge_zones();
   std::erase_if(evicted_, [&](const auto& e) {
-    const TaskState* t = replica_.task(e.first);
+    const model::TaskState* t = replica_.task(e.first);
     return t == nullptr || t->machine.empty() || t->attempt != e.second;
   });
-  if (!routed_.empty()) place_wanted_ = true;
+  if (!routed_.empty()) placement_requested_ = true;
 }
 
-// One silent machine is its own trouble; nearly all of them at once are likelier ours. Its blocks
-// go to others then, and with them whatever it could hear: it stays suspect until some machine
-// answers it again, or it would get them back at once, and hold and lose them by turns.
-void Holder::suspect(size_t silent, size_t up) {
+// One silent machine is its own trouble; nearly all of them at once are likelier ours. Its
+// partitions go to others then, and with them whatever it could hear: it stays suspect until some
+// machine answers it again, or it would get them back at once, and hold and lose them by turns.
+void PartitionOwner::suspect(size_t silent, size_t up) {
   const bool nearly_all = up >= 2 && (silent * 10 >= up * 8 || all_unreachable_);
   if (nearly_all && !suspects_itself_) {
     ctx_.info("holder", "{} of {} machines silent: suspecting this node", silent, up);
@@ -206,8 +208,8 @@
   for (int i = 0; i < kTested; ++i) {
     auto at = addresses_.begin();
     std::advance(at, static_cast<long>(ctx_.rng() % addresses_.size()));
-    ctx_.call(Target::kWorker, at->second, "GET", "/inspect", "", report / 4,
-              [this](const CallDone& done) {
+    ctx_.call(runtime::Target::kWorker, at->second, "GET", "/inspect", "", report / 4,
+              [this](const runtime::CallDone& done) {
                 if (done.status == 200) last_answer_ = ctx_.now.steady;
               });
   }
@@ -215,7 +217,7 @@
 
 // One silent machine may be the first of a zone that is cut off. Some others of the zone are asked
 // at once: by the time it is judged, it is known whether it is alone.
-void Holder::check_zone(const std::string& zone) {
+void PartitionOwner::check_zone(const std::string& zone) {
   ZoneCheck& z = zone_checks_[zone];
   const double report = ctx_.settings.platform.report_s;
   if (ctx_.now.steady - z.asked < report) return;
@@ -224,68 +226,70 @@
   z.judged = false;
   std::vector<const Worker*> there;
   for (const auto& [name, w] : workers_) {
-    const Machine* m = replica_.machine(name);
+    const model::Machine* m = replica_.machine(name);
     if (m != nullptr && m->zone == zone && w.reported && !w.address.empty()) there.push_back(&w);
   }
   std::shuffle(there.begin(), there.end(), ctx_.rng);
   for (const Worker* w : there) {
     if (z.sent == kZoneSample) break;
     ++z.sent;
-    ctx_.call(Target::kWorker, w->address, "GET", "/inspect", "", report * kZonePatience,
-              [this, zone, asked = z.asked](const CallDone& done) {
+    ctx_.call(runtime::Target::kWorker, w->address, "GET", "/inspect", "", report * kZonePatience,
+              [this, zone, asked = z.asked](const runtime::CallDone& done) {
                 ZoneCheck& x = zone_checks_[zone];
                 if (x.asked == asked && done.status == 200) ++x.answered;
               });
   }
 }
 
-void Holder::judge_zones() {
+void PartitionOwner::judge_zones() {
   const double report = ctx_.settings.platform.report_s;
   for (auto& [zone, z] : zone_checks_) {
     const double passed = ctx_.now.steady - z.asked;
     if (!z.judged && passed > 1.2 * kZonePatience * report) {
       // A few machines say little of a zone, unless it was found dark while there were more.
-      const bool dark = z.sent >= (z.dark ? 1 : kZoneSample / 2) && z.answered * 2 < z.sent;
-      if (dark != z.dark)
+      const bool unreachable =
+          z.sent >= (z.unreachable ? 1 : kZoneSample / 2) && z.answered * 2 < z.sent;
+      if (unreachable != z.unreachable)
         ctx_.info("holder", "zone {}: {} of {} machines asked answer, it is {}", zone, z.answered,
-                  z.sent, dark ? "cut off" : "there again");
-      z.dark = dark;
+                  z.sent, unreachable ? "cut off" : "there again");
+      z.unreachable = unreachable;
       z.judged = true;
       // All zones dark at once: this node is cut off, not they. It need not wait for silence.
-      all_unreachable_ = dark && std::all_of(workers_.begin(), workers_.end(), [&](const auto& w) {
-                           const Machine* m = replica_.machine(w.first);
-                           if (m == nullptr || !w.second.reported) return true;
-                           auto check = zone_checks_.find(m->zone);
-                           return check != zone_checks_.end() && check->second.dark;
-                         });
+      all_unreachable_ =
+          unreachable && std::all_of(workers_.begin(), workers_.end(), [&](const auto& w) {
+            const model::Machine* m = replica_.machine(w.first);
+            if (m == nullptr || !w.second.reported) return true;
+            auto check = zone_checks_.find(m->zone);
+            return check != zone_checks_.end() && check->second.unreachable;
+          });
     }
-    if (z.dark && !workers_.empty()) check_zone(zone);
+    if (z.unreachable && !workers_.empty()) check_zone(zone);
   }
 }
 
-std::vector<std::string> Holder::silent_machines() const {
+std::vector<std::string> PartitionOwner::silent_machines() const {
   std::vector<std::string> out;
-  const size_t most = ctx_.settings.platform.state_value_bytes / kItemBytes / 2;
+  const size_t most = ctx_.settings.platform.state_value_bytes / model::kItemBytes / 2;
   for (const auto& [name, w] : workers_)
     if (w.silent && out.size() < most) out.push_back(name);
   return out;
 }
 
-std::vector<std::string> Holder::unreachable_zones() const {
+std::vector<std::string> PartitionOwner::unreachable_zones() const {
   std::vector<std::string> out;
   for (const auto& [zone, z] : zone_checks_)
-    if (z.dark) out.push_back(zone);
+    if (z.unreachable) out.push_back(zone);
   return out;
 }
 
 // While this process stood still it could hear nobody: that time is no machine's silence.
-double Holder::quiet_for(const Worker& w) const {
-  return ctx_.now.steady - std::max(w.last_heard, ctx_.woke);
+double PartitionOwner::silence_of(const Worker& w) const {
+  return ctx_.now.steady - std::max(w.last_heard, ctx_.resumed_at);
 }
 
-void Holder::probe(Worker& w) {
+void PartitionOwner::probe(Worker& w) {
   const double report = ctx_.settings.platform.report_s;
-  const double age = quiet_for(w);
+  const double age = silence_of(w);
   // A machine whose lease must have ended is asked at once: its tasks are to start again.
   const bool over = w.reported && ctx_.now.steady > w.lease_ends && w.last_heard < w.lease_ends;
   if (age < kProbeReports * report && !over) {
@@ -298,29 +302,29 @@
     return;
   }
   // Hundreds may be late at once, after a cut or a pause: they are asked in turn.
-  if (probes_ >= kProbeSockets * ctx_.settings.platform.max_sockets) return;
+  if (probes_ >= runtime::kProbeSockets * ctx_.settings.platform.max_sockets) return;
   ++probes_;
   w.probing = true;
   w.next_probe = ctx_.now.steady + report / 10;
-  ctx_.call(Target::kWorker, w.address, "GET", "/inspect", "", report / 4,
-            [this, name = w.name](const CallDone& done) {
+  ctx_.call(runtime::Target::kWorker, w.address, "GET", "/inspect", "", report / 4,
+            [this, name = w.name](const runtime::CallDone& done) {
               --probes_;
               auto it = workers_.find(name);
               if (it == workers_.end()) return;
               it->second.probing = false;
-              auto r = done.status == 200 ? worker::parse_report(done.body) : std::nullopt;
+              auto r = done.status == 200 ? wire::parse_heartbeat(done.body) : std::nullopt;
               if (!r || r->machine != name) {
                 it->second.probe_failed = ++it->second.failed_probes >= kProbes;
-                if (const Machine* m = replica_.machine(name)) check_zone(m->zone);
+                if (const model::Machine* m = replica_.machine(name)) check_zone(m->zone);
                 return;
               }
-              take_report(it->second, *r);
+              accept_heartbeat(it->second, *r);
             });
 }
 
 // ---- reports -------------------------------------------------------------------------------
 
-void Holder::note_address(const std::string& machine, const std::string& address) {
+void PartitionOwner::record_address(const std::string& machine, const std::string& address) {
   if (address.empty()) return;
   std::string& known = addresses_[machine];
   if (known == address) return;
@@ -333,85 +337,91 @@
 
 // An answer lets a worker's tasks live for another lease. A job may have been cancelled since this
 // node last knew of all cancellations, and its tasks have to be gone within `cancel_s` then. That
-// nobody can cancel anything now, since the state service is away for all, says nothing of what
+// nobody can cancel anything now, since the store is away for all, says nothing of what
 // another controller confirmed just before.
-bool Holder::entitled() const {
+bool PartitionOwner::entitled() const {
   const auto& p = ctx_.settings.platform;
   return ctx_.now.steady - cancellations_.known_at() < kEntitled * (p.cancel_s - p.lease_s);
 }
 
-void Holder::report(uint64_t request, const std::string& body) {
-  auto r = worker::parse_report(body);
+void PartitionOwner::report(uint64_t request, const std::string& body) {
+  auto r = wire::parse_heartbeat(body);
   if (!r) return ctx_.reply(request, 400, "{}");
   if (!replica_.synced) return ctx_.reply(request, 503, "{}", 1);
-  const Machine* m = replica_.machine(r->machine);
+  const model::Machine* m = replica_.machine(r->machine);
   const auto& p = ctx_.settings.platform;
-  note_address(r->machine, r->address);
+  record_address(r->machine, r->address);
   if (m == nullptr) {
-    sighting_ = net::Sighting{r->machine, r->address, r->type, r->zone, r->spot};
+    unassigned_machine_ =
+        wire::UnassignedMachine{r->machine, r->address, r->type, r->zone, r->spot};
     const bool lead = replica_.leader.label == p.label;
-    return ctx_.reply(request, 421, worker::encode_redirect(lead ? "" : replica_.leader.label));
+    return ctx_.reply(request, 421, wire::encode_redirect(lead ? "" : replica_.leader.label));
   }
   auto it = workers_.find(r->machine);
-  if (!holds(m->block) || it == workers_.end()) {
-    const BlockLease& lease = replica_.leases[static_cast<size_t>(m->block)];
-    if (lease.holder == p.label) return ctx_.reply(request, 503, "{}", 1);
-    return ctx_.reply(request, 421, worker::encode_redirect(lease.holder));
+  if (!owns(m->partition) || it == workers_.end()) {
+    const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(m->partition)];
+    if (lease.owner == p.label) return ctx_.reply(request, 503, "{}", 1);
+    return ctx_.reply(request, 421, wire::encode_redirect(lease.owner));
   }
   if (!entitled()) return ctx_.reply(request, 503, "{}", 1);
   Worker& w = it->second;
   // A higher token than ours: somebody else is entitled. A 200 would burn the worker's lease.
-  if (r->token > w.token) {
-    ctx_.info("holder", "machine {} has token {} above ours {}", w.name, r->token, w.token);
+  if (r->fencing_token > w.fencing_token) {
+    ctx_.info("holder", "machine {} has token {} above ours {}", w.name, r->fencing_token,
+              w.fencing_token);
     return ctx_.reply(request, 421, "{}");
   }
   ctx_.count("reports");
   w.address = r->address;
-  if (!w.reported || std::pair(r->session, r->seq) > std::pair(w.session, w.seq))
+  if (!w.reported || std::pair(r->agent_epoch, r->sequence) > std::pair(w.agent_epoch, w.sequence))
     w.last_report = ctx_.now.steady;
-  take_report(w, *r);
+  accept_heartbeat(w, *r);
   w.lease_ends = ctx_.now.steady + ctx_.settings.platform.lease_s;
-  std::vector<Order> orders;
-  reconcile(w, &orders);
+  std::vector<wire::WorkerCommand> commands;
+  reconcile(w, &commands);
   // Starts go out as direct commands only: an answer that arrives late could start what has been
   // moved since.
   // What is left for a command of its own are starts.
-  w.settled = std::erase_if(orders, [](const Order& o) { return o.op == Order::Op::kStart; }) == 0;
-  ctx_.reply(request, 200, worker::encode_answer(w.token, orders));
+  w.settled = std::erase_if(commands, [](const wire::WorkerCommand& o) {
+                return o.op == wire::WorkerCommand::Op::kStart;
+              }) == 0;
+  ctx_.reply(request, 200, wire::encode_answer(w.fencing_token, commands));
 }
 
-void Holder::take_report(Worker& w, const worker::Report& r) {
+void PartitionOwner::accept_heartbeat(Worker& w, const wire::WorkerHeartbeat& r) {
   // Late copies of older reports carry older task lists.
-  if (w.reported && std::pair(r.session, r.seq) <= std::pair(w.session, w.seq)) return;
-  if (!w.reported || r.session != w.session)
-    ctx_.info("holder", "machine {} reports: session {} token {} tasks {}", w.name, r.session,
-              r.token, r.tasks.size());
+  if (w.reported && std::pair(r.agent_epoch, r.sequence) <= std::pair(w.agent_epoch, w.sequence))
+    return;
+  if (!w.reported || r.agent_epoch != w.agent_epoch)
+    ctx_.info("holder", "machine {} reports: session {} token {} tasks {}", w.name, r.agent_epoch,
+              r.fencing_token, r.tasks.size());
   w.reported = true;
-  w.session = r.session;
-  w.seq = r.seq;
-  w.reported_token = r.token;
+  w.agent_epoch = r.agent_epoch;
+  w.sequence = r.sequence;
+  w.seen_fencing_token = r.fencing_token;
   // A machine that was out of reach needs a while to find its controller again.
   const auto& s = ctx_.settings;
-  if (quiet_for(w) > s.operators.machine_silence_reports * s.platform.report_s)
+  if (silence_of(w) > s.operators.machine_silence_reports * s.platform.report_s)
     w.heard_since = ctx_.now.steady;
   w.last_heard = last_answer_ = ctx_.now.steady;
   w.probe_failed = false;
   w.failed_probes = 0;
   w.tasks = r.tasks;
-  if (r.notice_s && !w.notice_until) {
-    w.notice_until = ctx_.now.steady + *r.notice_s;
-    ctx_.info("holder", "machine {} will be taken in {:.1f} s", w.name, *r.notice_s);
+  if (r.termination_notice_s && !w.terminates_at) {
+    w.terminates_at = ctx_.now.steady + *r.termination_notice_s;
+    ctx_.info("holder", "machine {} will be taken in {:.1f} s", w.name, *r.termination_notice_s);
   }
-  note_images(w);
+  record_images(w);
   attend(w);
-  place_wanted_ = true;
+  placement_requested_ = true;
 }
 
-void Holder::note_images(Worker& w) {
-  const Machine* m = replica_.machine(w.name);
+void PartitionOwner::record_images(Worker& w) {
+  const model::Machine* m = replica_.machine(w.name);
   for (const auto& t : w.tasks) {
-    if (t.phase != Phase::kRunning && t.phase != Phase::kGathering) continue;
-    const Job* j = replica_.job(t.task.job);
+    if (t.phase != wire::TaskPhase::kRunning && t.phase != wire::TaskPhase::kWaitingForGang)
+      continue;
+    const model::Job* j = replica_.job(t.task.job);
     if (j == nullptr) continue;
     auto it = std::find_if(w.images.begin(), w.images.end(),
                            [&](const auto& i) { return i.first == j->image; });
@@ -432,121 +442,128 @@
 
 // A worker's word that a task is absent or ended counts only if no command from before can still
 // reach it: it has to have seen a higher token than the last unacknowledged command's.
-bool Holder::trusted(const Worker& w) const {
-  return w.reported && w.reported_token > std::max(w.dirty, w.sending);
+bool PartitionOwner::trusted(const Worker& w) const {
+  return w.reported && w.seen_fencing_token > std::max(w.unacknowledged_token, w.sending);
 }
 
 // Compares what a worker reported with what the state says, and derives what follows.
-void Holder::reconcile(Worker& w, std::vector<Order>* orders) {
-  if (!w.reported || !holds(w.block)) return;
+void PartitionOwner::reconcile(Worker& w, std::vector<wire::WorkerCommand>* commands) {
+  if (!w.reported || !owns(w.partition)) return;
   const bool sure = trusted(w);
-  std::set<TaskRef> matched;
-  auto order = [&](Order o) {
-    if (orders != nullptr) orders->push_back(std::move(o));
+  std::set<model::TaskRef> matched;
+  auto command = [&](wire::WorkerCommand o) {
+    if (commands != nullptr) commands->push_back(std::move(o));
   };
   for (const auto& t : w.tasks) {
-    const TaskState* s = replica_.task(t.task);
+    const model::TaskState* s = replica_.task(t.task);
     const bool ours = s != nullptr && !s->done && s->machine == w.name && s->attempt == t.attempt;
     if (!ours) {
-      if (t.phase == Phase::kExited) {
-        if (sure) order({Order::Op::kForget, t.task, t.attempt, 0});
+      if (t.phase == wire::TaskPhase::kExited) {
+        if (sure) command({wire::WorkerCommand::Op::kRemove, t.task, t.attempt, 0});
       } else {
-        order({Order::Op::kStop, t.task, t.attempt, 0});
+        command({wire::WorkerCommand::Op::kStop, t.task, t.attempt, 0});
       }
       continue;
     }
     matched.insert(t.task);
     if (changing(t.task)) continue;
-    const Job* job = replica_.job(t.task.job);
-    if (t.phase == Phase::kExited) {
-      if (t.cause == Cause::kDone) {
+    const model::Job* job = replica_.job(t.task.job);
+    if (t.phase == wire::TaskPhase::kExited) {
+      if (t.cause == wire::ExitCause::kDone) {
         w.failures = 0;
         w.failed_jobs.clear();
-        change(t.task, {Change::Kind::kDone, w.name, t.attempt, w.block});
+        change(t.task, {Change::Kind::kDone, w.name, t.attempt, w.partition});
       } else if (sure) {
         lost(w, t);
       }
       continue;
     }
-    if (t.phase == Phase::kRunning) w.running_since.emplace(t.task, ctx_.now.steady);
-    if (auto o = order_for(w, t, *job)) order(std::move(*o));
+    if (t.phase == wire::TaskPhase::kRunning) w.running_since.emplace(t.task, ctx_.now.steady);
+    if (auto o = command_for(w, t, *job)) command(std::move(*o));
   }
   for (const auto& ref : replica_.placed_on(w.name)) {
     if (matched.count(ref) != 0 || changing(ref)) continue;
-    if (auto o = order_for_unreported(w, ref, *replica_.job(ref.job), sure)) order(std::move(*o));
+    if (auto o = command_for_unreported(w, ref, *replica_.job(ref.job), sure))
+      command(std::move(*o));
   }
   if (w.running_since.size() > 4 * (w.tasks.size() + 16))
     std::erase_if(w.running_since, [&](const auto& r) { return matched.count(r.first) == 0; });
 }
 
 // What a task that is on its machine, as the state has it, is to be told.
-std::optional<Order> Holder::order_for(Worker& w, const worker::ReportedTask& t, const Job& job) {
-  const Order at_once{Order::Op::kStop, t.task, t.attempt, 0};
-  const Order saving{Order::Op::kStop, t.task, t.attempt, job.spec.save_s};
+std::optional<wire::WorkerCommand> PartitionOwner::command_for(Worker& w,
+                                                               const wire::ReportedTask& t,
+                                                               const model::Job& job) {
+  const wire::WorkerCommand at_once{wire::WorkerCommand::Op::kStop, t.task, t.attempt, 0};
+  const wire::WorkerCommand saving{wire::WorkerCommand::Op::kStop, t.task, t.attempt,
+                                   job.spec.save_s};
   if (job.over()) return at_once;
-  if (t.phase == Phase::kSaving) return std::nullopt;
+  if (t.phase == wire::TaskPhase::kSaving) return std::nullopt;
   auto e = evicted_.find(t.task);
   if (e != evicted_.end() && e->second == t.attempt) return saving;
-  const bool gang = job.spec.shape == Shape::kGang;
+  const bool gang = job.spec.shape == model::Shape::kGang;
   // Without one of them the others cannot go on; where they waited for one another they would wait
   // in vain. The next attempt needs all of them gone.
   if (gang && gang_broken(job)) return at_once;
-  if (!w.notice_until || ends_in_time(w, t, job)) return std::nullopt;
+  if (!w.terminates_at || ends_in_time(w, t, job)) return std::nullopt;
   if (gang) stop_gang(job);
   return saving;
 }
 
 // What the state has on a machine and the machine does not report. What was never started here, or
-// went with the machine's session, is started (again) where the state has it: its image is there,
-// and nothing has to be written. After a cut that outlasts the lease that is true of hundreds of
-// machines at once. A machine that is to go is no place for it, nor one where its team's share has
-// been given to others since it ended here unwritten. Nor can a gang's task come back to an attempt
-// that has run, or that has lost another task.
-std::optional<Order> Holder::order_for_unreported(Worker& w, const TaskRef& ref, const Job& job,
-                                                  bool sure) {
+// went with the machine's agent epoch, is started (again) where the state has it: its image is
+// there, and nothing has to be written. After a cut that outlasts the lease that is true of
+// hundreds of machines at once. A machine that is to go is no place for it, nor one where its
+// team's share has been given to others since it ended here unwritten. Nor can a gang's task come
+// back to an attempt that has run, or that has lost another task.
+std::optional<wire::WorkerCommand> PartitionOwner::command_for_unreported(Worker& w,
+                                                                          const model::TaskRef& ref,
+                                                                          const model::Job& job,
+                                                                          bool sure) {
   const uint64_t attempt = replica_.task(ref)->attempt;
-  const bool attempt_over =
-      job.spec.shape == Shape::kGang && (w.running_since.count(ref) != 0 || gang_broken(job));
-  const bool lost = job.over() || w.notice_until || w.bad || drain_.count(w.name) != 0 ||
-                    attempt_over || beyond_share(job.spec.team, w);
-  if (!lost) return Order{Order::Op::kStart, ref, attempt, 0};
+  const bool attempt_over = job.spec.shape == model::Shape::kGang &&
+                            (w.running_since.count(ref) != 0 || gang_broken(job));
+  const bool lost = job.over() || w.terminates_at || w.bad || drain_.count(w.name) != 0 ||
+                    attempt_over || exceeds_quota(job.spec.team, w);
+  if (!lost) return wire::WorkerCommand{wire::WorkerCommand::Op::kStart, ref, attempt, 0};
   if (!sure) return std::nullopt;
   w.running_since.erase(ref);
-  change(ref, {Change::Kind::kLost, w.name, attempt, w.block});
+  change(ref, {Change::Kind::kLost, w.name, attempt, w.partition});
   return std::nullopt;
 }
 
 // Whether a task on a machine that will be taken is likely to complete before. What is not starts
 // elsewhere at once, instead of when the machine has gone.
-bool Holder::ends_in_time(const Worker& w, const worker::ReportedTask& t, const Job& job) const {
-  const JobSpec& s = job.spec;
-  if (s.shape == Shape::kService) return false;
-  const double left = *w.notice_until - ctx_.now.steady - s.save_s;
-  if (t.phase != Phase::kRunning) return s.estimate_s < left;
+bool PartitionOwner::ends_in_time(const Worker& w, const wire::ReportedTask& t,
+                                  const model::Job& job) const {
+  const model::JobSpec& s = job.spec;
+  if (s.shape == model::Shape::kService) return false;
+  const double left = *w.terminates_at - ctx_.now.steady - s.save_s;
+  if (t.phase != wire::TaskPhase::kRunning) return s.estimate_s < left;
   auto since = w.running_since.find(t.task);
   const double ran = since == w.running_since.end() ? 0 : ctx_.now.steady - since->second;
   return s.estimate_s - ran < left;
 }
 
-void Holder::lost(Worker& w, const worker::ReportedTask& t) {
-  ctx_.debug("holder", "task {} attempt {} ended on {}: cause {}", task_name(t.task), t.attempt,
-             w.name, static_cast<int>(t.cause));
-  if (t.cause == Cause::kError) {
-    note_failure(w, t.task.job, t.attempt);
-  } else if (t.cause != Cause::kStopped && t.cause != Cause::kMatesGone &&
-             t.cause != Cause::kAlone) {
+void PartitionOwner::lost(Worker& w, const wire::ReportedTask& t) {
+  ctx_.debug("holder", "task {} attempt {} ended on {}: cause {}", wire::task_name(t.task),
+             t.attempt, w.name, static_cast<int>(t.cause));
+  if (t.cause == wire::ExitCause::kError) {
+    record_failure(w, t.task.job, t.attempt);
+  } else if (t.cause != wire::ExitCause::kStopped && t.cause != wire::ExitCause::kGangMemberLost &&
+             t.cause != wire::ExitCause::kGangIncomplete) {
     w.avoid_until = ctx_.now.steady + ctx_.settings.platform.report_s / 3;
   }
   w.running_since.erase(t.task);
-  change(t.task, {Change::Kind::kLost, w.name, t.attempt, w.block});
+  change(t.task, {Change::Kind::kLost, w.name, t.attempt, w.partition});
 }
 
 // A machine on which task after task fails is returned; a job that fails on machine after machine
 // backs off by itself and is not held against them.
-void Holder::note_failure(Worker& w, const std::string& job, uint64_t attempt) {
+void PartitionOwner::record_failure(Worker& w, const std::string& job, uint64_t attempt) {
   JobTrouble& trouble = troubles_[job];
   trouble.machines.insert(w.name);
-  // Attempts are counted in the state: they show what failed under other holders.
+  // Attempts are counted in the state: they show what failed under other owners.
   trouble.failures =
       std::max(trouble.failures + 1, static_cast<int>(std::min<uint64_t>(attempt, 1000)));
   const double report = ctx_.settings.platform.report_s;
@@ -573,39 +590,39 @@
 
 // ---- changes of state ----------------------------------------------------------------------
 
-const Holder::Change* Holder::change_of(const TaskRef& task) const {
-  const Job* job = replica_.job(task.job);
+const PartitionOwner::Change* PartitionOwner::change_of(const model::TaskRef& task) const {
+  const model::Job* job = replica_.job(task.job);
   if (job == nullptr) return nullptr;
-  auto it = work_.find({task.job, task.index / job->chunk_tasks});
+  auto it = work_.find({task.job, task.index / job->tasks_per_shard});
   if (it == work_.end()) return nullptr;
-  return change_in(it->second, task.index % job->chunk_tasks);
+  return change_in(it->second, task.index % job->tasks_per_shard);
 }
 
-const Holder::Change* Holder::change_in(const ChunkWork& work, uint32_t index) {
+const PartitionOwner::Change* PartitionOwner::change_in(const ShardWork& work, uint32_t index) {
   for (const auto* changes : {&work.sent, &work.waiting})
     if (auto c = changes->find(index); c != changes->end()) return &c->second;
   return nullptr;
 }
 
-void Holder::change(const TaskRef& task, Change c) {
-  const Job* job = replica_.job(task.job);
+void PartitionOwner::change(const model::TaskRef& task, Change c) {
+  const model::Job* job = replica_.job(task.job);
   if (job == nullptr) return;
   auto w = workers_.find(c.machine);
   if (w != workers_.end()) {
-    w->second.room_stale = w->second.view_stale = true;
+    w->second.room_stale = w->second.status_changed = true;
     if (c.kind == Change::Kind::kPlace) w->second.placing.insert(task);
   }
-  c.lease = replica_.leases[static_cast<size_t>(c.block)].stamp;
-  const ChunkId id{task.job, task.index / job->chunk_tasks};
-  ChunkWork& work = work_[id];
+  c.lease = replica_.leases[static_cast<size_t>(c.partition)].revision;
+  const ShardId id{task.job, task.index / job->tasks_per_shard};
+  ShardWork& work = work_[id];
   if (work.waiting.empty()) work.since = ctx_.now.steady;
-  const uint32_t index = task.index % job->chunk_tasks;
+  const uint32_t index = task.index % job->tasks_per_shard;
   // A task that has ended somewhere and found another place already: one change says both.
   auto before = work.waiting.find(index);
   if (c.kind == Change::Kind::kPlace && before != work.waiting.end() &&
       before->second.kind == Change::Kind::kLost) {
     c.from = before->second.machine;
-    c.from_block = before->second.block;
+    c.from_partition = before->second.partition;
     c.from_lease = before->second.lease;
     work.waiting.erase(before);
   }
@@ -614,41 +631,42 @@
 }
 
 // A change that is not to be written any more, or has been.
-void Holder::drop_change(const ChunkId& id, uint32_t index, const Change& c) {
+void PartitionOwner::drop_change(const ShardId& id, uint32_t index, const Change& c) {
   auto w = workers_.find(c.machine);
   if (w == workers_.end()) return;
-  const Job* job = replica_.job(id.first);
-  if (job != nullptr) w->second.placing.erase({id.first, id.second * job->chunk_tasks + index});
+  const model::Job* job = replica_.job(id.first);
+  if (job != nullptr) w->second.placing.erase({id.first, id.second * job->tasks_per_shard + index});
   attend(w->second);
-  place_wanted_ = true;
+  placement_requested_ = true;
 }
 
-// Whether this holder's machines still have tasks of the chunk whose results may be gathered with
-// those that wait. Other holders may have some too, and know as little of ours: a job whose tasks
+// Whether this owner's machines still have tasks of the shard whose results may be gathered with
+// those that wait. Other owners may have some too, and know as little of ours: a job whose tasks
 // have all ended must not wait for writes to spare at each of them.
-bool Holder::more_to_come(const Job& job, uint32_t chunk, const ChunkWork& work) const {
-  const auto& tasks = job.chunks[chunk].tasks;
+bool PartitionOwner::more_to_come(const model::Job& job, uint32_t shard,
+                                  const ShardWork& work) const {
+  const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     if (tasks[i].done || tasks[i].machine.empty() || change_in(work, i) != nullptr) continue;
-    const Machine* m = replica_.machine(tasks[i].machine);
-    if (m != nullptr && holds(m->block)) return true;
+    const model::Machine* m = replica_.machine(tasks[i].machine);
+    if (m != nullptr && owns(m->partition)) return true;
   }
   return false;
 }
 
 // A gang's place holds room on many machines until it is written, and all of its tasks wait for it:
 // it goes with the first, as a replica's does.
-int Holder::decision_rank(const JobSpec& s) {
-  if (s.shape == Shape::kGang) return kFirstDecision;
-  return kFirstDecision + static_cast<int>(Priority::kProd) - static_cast<int>(s.priority);
+int PartitionOwner::decision_rank(const model::JobSpec& s) {
+  if (s.shape == model::Shape::kGang) return kFirstDecision;
+  return kFirstDecision + static_cast<int>(model::Priority::kProd) - static_cast<int>(s.priority);
 }
 
 // A place that is decided and waits for its write is kept from everybody. Where writes are few, no
 // more is decided than can be written soon: what has more right then finds the room, and each write
-// takes all that has come free by then. A chunk that waits for its write may take more at no cost.
-bool Holder::may_decide(const Candidate& c) const {
-  if (c.job->spec.shape == Shape::kService) return true;  // few, and at once
-  if (auto own = work_.find({c.job->spec.id, c.chunk}); own != work_.end() && own->second.queued)
+// takes all that has come free by then. A shard that waits for its write may take more at no cost.
+bool PartitionOwner::may_decide(const Candidate& c) const {
+  if (c.job->spec.shape == model::Shape::kService) return true;  // few, and at once
+  if (auto own = work_.find({c.job->spec.id, c.shard}); own != work_.end() && own->second.queued)
     return true;
   const auto most = static_cast<size_t>(std::max(2.0, kDecidedAhead * client_.writes_per_s()));
   size_t ahead = 0;
@@ -659,21 +677,21 @@
   return true;
 }
 
-void Holder::queue(const ChunkId& id, ChunkWork& work) {
+void PartitionOwner::queue(const ShardId& id, ShardWork& work) {
   unqueue(id, work);
-  const Job* job = replica_.job(id.first);
+  const model::Job* job = replica_.job(id.first);
   if (job == nullptr || work.waiting.empty()) return;
   uint32_t done = job->done;
   bool decided = false, leaving = false;
   for (const auto& [i, c] : work.waiting) {
     if (c.kind == Change::Kind::kDone)
-      done += job->spec.shape == Shape::kGang ? job->spec.tasks : 1;
+      done += job->spec.shape == model::Shape::kGang ? job->spec.tasks : 1;
     decided = decided || c.kind != Change::Kind::kDone;
     // The result would be lost with the machine.
     auto w = workers_.find(c.machine);
-    leaving = leaving || (w != workers_.end() && w->second.notice_until);
+    leaving = leaving || (w != workers_.end() && w->second.terminates_at);
   }
-  int rank = kGathered;
+  int rank = kDeferred;
   if (leaving || done >= job->spec.tasks)
     rank = 0;
   else if (decided || !more_to_come(*job, id.second, work))
@@ -682,40 +700,42 @@
   queue_.insert({*work.queued, id});
 }
 
-void Holder::unqueue(const ChunkId& id, ChunkWork& work) {
+void PartitionOwner::unqueue(const ShardId& id, ShardWork& work) {
   if (work.queued) queue_.erase({*work.queued, id});
   work.queued.reset();
 }
 
-// The revisions that a placement depends on: its block's lease and, where a job's tasks depend on
-// each other's places, all its chunks. The transaction guards what is known when it is sent;
+// The revisions that a placement depends on: its partition's lease and, where a job's tasks depend
+// on each other's places, all its shards. The transaction guards what is known when it is sent;
 // without this, a decision made on older knowledge would go out under newer guards.
-uint64_t Holder::basis(const Job& job, int block) const {
-  uint64_t newest = replica_.leases[static_cast<size_t>(block)].stamp;
+uint64_t PartitionOwner::basis(const model::Job& job, int partition) const {
+  uint64_t newest = replica_.leases[static_cast<size_t>(partition)].revision;
   if (job.spec.spread || job.spec.one_zone)
-    for (const auto& c : job.chunks) newest = std::max(newest, c.stamp);
+    for (const auto& c : job.shards) newest = std::max(newest, c.revision);
   return newest;
 }
 
-bool Holder::under(int block, uint64_t lease) const {
-  return holds(block) && replica_.leases[static_cast<size_t>(block)].stamp == lease;
+bool PartitionOwner::under(int partition, uint64_t lease) const {
+  return owns(partition) && replica_.leases[static_cast<size_t>(partition)].revision == lease;
 }
 
-// A change is worth what its holder knew. Once the block was with another in between, that one may
-// have started a lost task in place, which changes nothing in the state: so each lease that a
+// A change is worth what its owner knew. Once the partition was with another in between, that one
+// may have started a lost task in place, which changes nothing in the state: so each lease that a
 // change rests on has to be the one it was decided under, that of the machine left as well.
-bool Holder::apply_change(const Job& job, const Chunk& chunk, TaskState& s, const Change& c) const {
-  if (!under(c.block, c.lease)) return false;
+bool PartitionOwner::apply_change(const model::Job& job, const model::TaskShard& shard,
+                                  model::TaskState& s, const Change& c) const {
+  if (!under(c.partition, c.lease)) return false;
   if (c.kind == Change::Kind::kPlace) {
-    if (!c.from.empty() && !under(c.from_block, c.from_lease)) return false;
+    if (!c.from.empty() && !under(c.from_partition, c.from_lease)) return false;
     const bool reported_gone = !c.from.empty() && !s.done && s.machine == c.from;
-    const bool gang = job.spec.shape == Shape::kGang;  // whose tasks share an attempt's number
+    const bool gang =
+        job.spec.shape == model::Shape::kGang;  // whose tasks share an attempt's number
     if (gang ? s.attempt >= c.attempt : s.attempt + 1 != c.attempt) return false;
     if (job.over() || (!reported_gone && !replica_.waits(s))) return false;
-    if (replica_.machine_gone(c.machine) || c.basis != basis(job, c.block)) return false;
-    // Taken from a machine that is in no list: only if the lists are known as far as this chunk.
+    if (replica_.machine_gone(c.machine) || c.basis != basis(job, c.partition)) return false;
+    // Taken from a machine that is in no list: only if the lists are known as far as this shard.
     // With older lists, a machine just dealt would look gone.
-    if (!s.machine.empty() && !reported_gone && !replica_.lists_cover(chunk)) return false;
+    if (!s.machine.empty() && !reported_gone && !replica_.lists_cover(shard)) return false;
     s.machine = c.machine;
     s.attempt = c.attempt;
     return true;
@@ -727,9 +747,9 @@
 }
 
 // All tasks of an attempt are placed by one change, or none is; and all are done when one is.
-void Holder::keep_gang_whole(const Job& job, const ChunkId& id, ChunkWork& work,
-                             std::vector<TaskState>& tasks) {
-  if (std::any_of(tasks.begin(), tasks.end(), [](const TaskState& t) { return t.done; })) {
+void PartitionOwner::keep_gang_whole(const model::Job& job, const ShardId& id, ShardWork& work,
+                                     std::vector<model::TaskState>& tasks) {
+  if (std::any_of(tasks.begin(), tasks.end(), [](const model::TaskState& t) { return t.done; })) {
     for (auto& t : tasks) {
       t.machine.clear();
       t.done = true;
@@ -739,7 +759,7 @@
   const auto is_place = [](const auto& c) { return c.second.kind == Change::Kind::kPlace; };
   const auto places = std::count_if(work.waiting.begin(), work.waiting.end(), is_place);
   const bool whole = static_cast<size_t>(places) == tasks.size() &&
-                     std::all_of(tasks.begin(), tasks.end(), [&](const TaskState& t) {
+                     std::all_of(tasks.begin(), tasks.end(), [&](const model::TaskState& t) {
                        return t.attempt == tasks.front().attempt;
                      });
   if (whole) return;
@@ -751,7 +771,7 @@
   }
 }
 
-void Holder::flush() {
+void PartitionOwner::flush() {
   for (int i = in_flight_; i < kMaxInFlight; ++i) {
     const int before = in_flight_;
     flush_group();
@@ -759,71 +779,73 @@
   }
 }
 
-// What a chunk's waiting changes come to. Those that are out of date are dropped; false if nothing
+// What a shard's waiting changes come to. Those that are out of date are dropped; false if nothing
 // is left to be written.
-bool Holder::apply_waiting(const Job& job, const ChunkId& id, ChunkWork& work, ChunkWrite& out) {
-  const Chunk& chunk = job.chunks[id.second];
-  out.tasks = chunk.tasks;
+bool PartitionOwner::apply_waiting(const model::Job& job, const ShardId& id, ShardWork& work,
+                                   ShardWrite& out) {
+  const model::TaskShard& shard = job.shards[id.second];
+  out.tasks = shard.tasks;
   for (auto c = work.waiting.begin(); c != work.waiting.end();) {
-    if (!apply_change(job, chunk, out.tasks[c->first], c->second))
+    if (!apply_change(job, shard, out.tasks[c->first], c->second))
       c = drop_waiting(job, id, work, c, out.tasks);
     else
       ++c;
   }
-  if (job.spec.shape == Shape::kGang) keep_gang_whole(job, id, work, out.tasks);
+  if (job.spec.shape == model::Shape::kGang) keep_gang_whole(job, id, work, out.tasks);
   return !work.waiting.empty();
 }
 
 // Takes a change back that waits to be written.
-Holder::Changes::iterator Holder::drop_waiting(const Job& job, const ChunkId& id, ChunkWork& work,
-                                               Changes::iterator at,
-                                               std::vector<TaskState>& tasks) {
+PartitionOwner::Changes::iterator PartitionOwner::drop_waiting(
+    const model::Job& job, const ShardId& id, ShardWork& work, Changes::iterator at,
+    std::vector<model::TaskState>& tasks) {
   const auto [index, change] = *at;
-  tasks[index] = job.chunks[id.second].tasks[index];
+  tasks[index] = job.shards[id.second].tasks[index];
   const auto next = work.waiting.erase(at);
   drop_change(id, index, change);
   return next;
 }
 
-// Whether the chunk's value is one that the state service takes, also with the limits to come. With
+// Whether the shard's value is one that the store takes, also with the limits to come. With
 // names of unusual length places are given up until it is. A value from before the limits were
 // lowered may be too large without any: it waits until enough of its tasks have ended.
-bool Holder::fits_value(const Job& job, const ChunkId& id, ChunkWork& work, ChunkWrite& out) {
+bool PartitionOwner::fits_value(const model::Job& job, const ShardId& id, ShardWork& work,
+                                ShardWrite& out) {
   const size_t most = ctx_.settings.platform.state_value_bytes;
-  const bool gang = job.spec.shape == Shape::kGang;
+  const bool gang = job.spec.shape == model::Shape::kGang;
   out.bytes = out.value.dump().size();
   for (auto c = work.waiting.end(); out.bytes > most; out.bytes = out.value.dump().size()) {
     while (c != work.waiting.begin() && std::prev(c)->second.kind != Change::Kind::kPlace) --c;
     if (c == work.waiting.begin() || gang) return false;
     c = drop_waiting(job, id, work, std::prev(c), out.tasks);
-    out.value = encode_chunk(out.tasks);
+    out.value = wire::encode_shard(out.tasks);
   }
   return !work.waiting.empty();
 }
 
-// The revisions that a chunk's changes rest on.
-void Holder::guard_changes(const Job& job, const ChunkId& id, const ChunkWork& work,
-                           ChunkWrite& out) const {
+// The revisions that a shard's changes rest on.
+void PartitionOwner::add_preconditions(const model::Job& job, const ShardId& id,
+                                       const ShardWork& work, ShardWrite& out) const {
   bool places = false;
   for (const auto& [i, c] : work.waiting) {
     places = places || c.kind == Change::Kind::kPlace;
-    out.guards[lease_key(c.block)] = c.lease;
-    if (!c.from.empty()) out.guards[lease_key(c.from_block)] = c.from_lease;
+    out.preconditions[wire::lease_key(c.partition)] = c.lease;
+    if (!c.from.empty()) out.preconditions[wire::lease_key(c.from_partition)] = c.from_lease;
   }
-  out.guards[chunk_key(id.first, id.second)] = job.chunks[id.second].stamp;
-  if (places || out.last) out.guards[job_key(id.first)] = job.stamp;
-  // Where a task may go depends on where the job's others are, in whatever chunk.
+  out.preconditions[wire::shard_key(id.first, id.second)] = job.shards[id.second].revision;
+  if (places || out.last) out.preconditions[wire::job_key(id.first)] = job.revision;
+  // Where a task may go depends on where the job's others are, in whatever shard.
   if (places && (job.spec.spread || job.spec.one_zone))
-    for (uint32_t c = 0; c < job.chunks.size(); ++c)
-      out.guards[chunk_key(id.first, c)] = job.chunks[c].stamp;
+    for (uint32_t c = 0; c < job.shards.size(); ++c)
+      out.preconditions[wire::shard_key(id.first, c)] = job.shards[c].revision;
 }
 
-// Adds a chunk's waiting changes to the transaction, as far as they are still of use.
-Holder::Added Holder::add_to_group(const ChunkId& id, Group& group) {
-  ChunkWork& work = work_[id];
-  const Job* job = replica_.job(id.first);
-  ChunkWrite write;
-  const bool known = job != nullptr && id.second < job->chunks.size();
+// Adds a shard's waiting changes to the transaction, as far as they are still of use.
+PartitionOwner::Added PartitionOwner::add_to_group(const ShardId& id, Group& group) {
+  ShardWork& work = work_[id];
+  const model::Job* job = replica_.job(id.first);
+  ShardWrite write;
+  const bool known = job != nullptr && id.second < job->shards.size();
   if (!known)
     for (const auto& [i, c] : std::exchange(work.waiting, {})) drop_change(id, i, c);
   if (!known || !apply_waiting(*job, id, work, write)) {
@@ -831,8 +853,8 @@
     work_.erase(id);
     return Added::kNothing;
   }
-  const Chunk& chunk = job->chunks[id.second];
-  uint32_t done = job->done - chunk.done, on_machines = 0;
+  const model::TaskShard& shard = job->shards[id.second];
+  uint32_t done = job->done - shard.done, on_machines = 0;
   for (const auto& t : write.tasks) {
     done += t.done ? 1 : 0;
     on_machines += t.machine.empty() ? 0 : 1;
@@ -841,25 +863,28 @@
   // What a job that is over leaves behind is of no use to anybody.
   write.last = finishes || (job->over() && on_machines == 0);
   if (!write.last) {
-    write.value = encode_chunk(write.tasks);
+    write.value = wire::encode_shard(write.tasks);
     if (!fits_value(*job, id, work, write)) {
       ctx_.count("too_large");
       return Added::kNothing;
     }
   }
-  guard_changes(*job, id, work, write);
-  const auto fresh = std::count_if(write.guards.begin(), write.guards.end(),
-                                   [&](const auto& g) { return group.guards.count(g.first) == 0; });
+  add_preconditions(*job, id, work, write);
+  const auto fresh =
+      std::count_if(write.preconditions.begin(), write.preconditions.end(),
+                    [&](const auto& g) { return group.preconditions.count(g.first) == 0; });
   const size_t most_guards = ctx_.settings.platform.state_txn_ops * 4;
-  if (group.guards.size() + static_cast<size_t>(fresh) > most_guards && !group.chunks.empty())
+  if (group.preconditions.size() + static_cast<size_t>(fresh) > most_guards &&
+      !group.shards.empty())
     return Added::kFull;
-  group.guards.insert(write.guards.begin(), write.guards.end());
-  group.add({chunk_key(id.first, id.second), std::move(write.value), 0}, write.bytes);
+  group.preconditions.insert(write.preconditions.begin(), write.preconditions.end());
+  group.add({wire::shard_key(id.first, id.second), std::move(write.value), 0}, write.bytes);
   if (finishes) {
-    Job ended;
+    model::Job ended;
     ended.spec.tasks = job->spec.tasks;
-    ended.end = JobEnd::kDone;
-    group.add({job_key(id.first), encode_job(ended), 0}, 0);  // a few bytes, as those around it
+    ended.end = model::JobEnd::kDone;
+    group.add({wire::job_key(id.first), wire::encode_job(ended), 0},
+              0);  // a few bytes, as those around it
   }
   unqueue(id, work);
   for (const auto& [i, c] : work.waiting)
@@ -867,20 +892,20 @@
                : c.kind == Change::Kind::kLost ? "tasks_lost"
                                                : "tasks_done");
   work.sent = std::exchange(work.waiting, {});
-  work.sent_on = chunk.stamp;
+  work.sent_on = shard.revision;
   work.busy = true;
-  group.chunks.push_back(id);
-  return Added::kChunk;
+  group.shards.push_back(id);
+  return Added::kShard;
 }
 
-void Holder::Group::add(state::Write write, size_t value_bytes) {
+void PartitionOwner::Group::add(store::Write write, size_t value_bytes) {
   constexpr size_t kAround = 200;  // bytes of a write besides its value, and of its guards
   keys.push_back(write.key);
   if (value_bytes > 0) bytes += value_bytes + kAround;
   writes.push_back(std::move(write));
 }
 
-void Holder::flush_group() {
+void PartitionOwner::flush_group() {
   if (in_flight_ >= kMaxInFlight || queue_.empty() || ctx_.now.steady < backoff_until_) return;
   const auto& p = ctx_.settings.platform;
   const size_t most = std::max<size_t>(
@@ -889,40 +914,40 @@
   const double gather = kDeferReports * p.report_s;
   Group group;
   auto may_add = [&](int rank) {
-    const double reserve = rank == 0 ? 0 : rank < kGathered ? kDecisionReserve : kGatheredReserve;
-    // The next chunk may end its job, which is a write more.
+    const double reserve = rank == 0 ? 0 : rank < kDeferred ? kDecisionReserve : kDeferredReserve;
+    // The next shard may end its job, which is a write more.
     return client_.room_for(static_cast<double>(group.writes.size()) + 2 + client_.kept(), reserve);
   };
   for (auto q = queue_.begin(); q != queue_.end();) {
     const auto [rank, since] = q->first;
-    const ChunkId id = q->second;
+    const ShardId id = q->second;
     if (!may_add(rank) || group.writes.size() + 2 > most || group.bytes > kGroupBytes) break;
-    if (rank == kGathered && ctx_.now.steady - since < gather) break;
+    if (rank == kDeferred && ctx_.now.steady - since < gather) break;
     ++q;
     const Added added = add_to_group(id, group);
     if (added == Added::kFull) break;
-    if (added == Added::kChunk)
-      ctx_.count(rank == 0 ? "results" : rank < kGathered ? "decisions" : "gathered");
+    if (added == Added::kShard)
+      ctx_.count(rank == 0 ? "results" : rank < kDeferred ? "decisions" : "gathered");
   }
-  if (group.chunks.empty()) return;
-  std::vector<state::Guard> guards;
-  guards.reserve(group.guards.size());
-  for (const auto& [k, s] : group.guards) guards.push_back({k, s});
+  if (group.shards.empty()) return;
+  std::vector<store::Precondition> preconditions;
+  preconditions.reserve(group.preconditions.size());
+  for (const auto& [k, s] : group.preconditions) preconditions.push_back({k, s});
   bool sent = committer_.commit(
-      guards, std::move(group.writes),
-      [this, chunks = group.chunks, keys = group.keys](const state::TxnResult& r) {
+      preconditions, std::move(group.writes),
+      [this, shards = group.shards, keys = group.keys](const store::TransactionResult& r) {
         --in_flight_;
-        settle(chunks, r, keys);
+        settle(shards, r, keys);
       });
   if (sent)
     ++in_flight_;
   else
-    send_again(group.chunks);
+    send_again(group.shards);
 }
 
-void Holder::send_again(const std::vector<ChunkId>& chunks) {
-  for (const auto& id : chunks) {
-    ChunkWork& work = work_[id];
+void PartitionOwner::send_again(const std::vector<ShardId>& shards) {
+  for (const auto& id : shards) {
+    ShardWork& work = work_[id];
     // What was decided since stays; what was sent is tried again.
     for (auto& c : work.sent) work.waiting.insert(c);
     work.sent.clear();
@@ -931,8 +956,8 @@
   }
 }
 
-void Holder::drop_sent(const std::vector<ChunkId>& chunks) {
-  for (const auto& id : chunks) {
+void PartitionOwner::drop_sent(const std::vector<ShardId>& shards) {
+  for (const auto& id : shards) {
     auto it = work_.find(id);
     if (it == work_.end()) continue;
     for (const auto& [i, c] : std::exchange(it->second.sent, {})) drop_change(id, i, c);
@@ -944,17 +969,17 @@
   }
 }
 
-// After a transaction without an answer, read back. One whose chunk has changed can no longer be
+// After a transaction without an answer, read back. One whose shard has changed can no longer be
 // carried out. Otherwise it may be, seconds from now, and nothing that it says may be taken back
 // till then: a place keeps its room and its part of the team's limit, and a task that it writes
 // lost is not started over in place. The same is sent again; whichever comes first, the other one
 // fails.
-void Holder::resolve(const std::vector<ChunkId>& chunks) {
-  for (const auto& id : chunks) {
-    const Job* job = replica_.job(id.first);
+void PartitionOwner::resolve(const std::vector<ShardId>& shards) {
+  for (const auto& id : shards) {
+    const model::Job* job = replica_.job(id.first);
     auto work = work_.find(id);
-    const bool pending = job != nullptr && work != work_.end() && id.second < job->chunks.size() &&
-                         job->chunks[id.second].stamp == work->second.sent_on;
+    const bool pending = job != nullptr && work != work_.end() && id.second < job->shards.size() &&
+                         job->shards[id.second].revision == work->second.sent_on;
     if (pending)
       send_again({id});
     else
@@ -962,38 +987,38 @@
   }
 }
 
-void Holder::settle(const std::vector<ChunkId>& chunks, const state::TxnResult& result,
-                    std::vector<std::string> keys) {
+void PartitionOwner::settle(const std::vector<ShardId>& shards,
+                            const store::TransactionResult& result, std::vector<std::string> keys) {
   switch (result.outcome) {
-    case Outcome::kApplied: {
-      drop_sent(chunks);
+    case store::TransactionOutcome::kApplied: {
+      drop_sent(shards);
       return;
     }
-    case Outcome::kRefused:
-    case Outcome::kNoLease:
-    case Outcome::kTooLarge:
+    case store::TransactionOutcome::kRefused:
+    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kTooLarge:
       ctx_.count("refused");
       backoff_until_ = ctx_.now.steady + kBackoff;
-      send_again(chunks);
+      send_again(shards);
       return;
-    case Outcome::kConflict:
-      ctx_.count("conflicts", static_cast<double>(chunks.size()));
-      ctx_.debug("holder", "transaction of {} chunks failed on {}", chunks.size(),
+    case store::TransactionOutcome::kConflict:
+      ctx_.count("conflicts", static_cast<double>(shards.size()));
+      ctx_.debug("holder", "transaction of {} chunks failed on {}", shards.size(),
                  result.failed.empty() ? "" : result.failed.front());
-      committer_.refresh(result.failed, [this, chunks] {
+      committer_.refresh(result.failed, [this, shards] {
         // Nothing of what was decided on old knowledge is kept; it is derived anew.
-        drop_sent(chunks);
+        drop_sent(shards);
       });
       return;
-    case Outcome::kUnknown:
-      committer_.refresh(std::move(keys), [this, chunks] { resolve(chunks); });
+    case store::TransactionOutcome::kUnknown:
+      committer_.refresh(std::move(keys), [this, shards] { resolve(shards); });
       return;
   }
 }
 
 // ---- commands ------------------------------------------------------------------------------
 
-void Holder::push() {
+void PartitionOwner::push() {
   std::vector<std::string> names = std::exchange(attention_, {});
   for (const auto& name : names) {
     auto it = workers_.find(name);
@@ -1002,25 +1027,26 @@
     w.attention = false;
     if (w.sending != 0) continue;  // its answer brings attention again
     if (w.address.empty() || ctx_.now.steady < w.next_push ||
-        sends_ >= kCommandSockets * ctx_.settings.platform.max_sockets) {
+        sends_ >= runtime::kCommandSockets * ctx_.settings.platform.max_sockets) {
       w.attention = true;
       attention_.push_back(name);
       continue;
     }
     if (!w.reported) {
-      // A block just taken: an empty command shows the worker our token and gets its report.
+      // A partition just taken: an empty command shows the worker our token and gets its report.
       send(w, {}, true);
       continue;
     }
     if (std::exchange(w.settled, false)) continue;
-    std::vector<Order> orders;
-    reconcile(w, &orders);
-    if (replica_.synced_at < ctx_.woke || !entitled()) {
-      // After a pause, or long without the state service, the job may be cancelled and the task
-      // elsewhere, for all that is known here; and a worker in a new session would run it for a
+    std::vector<wire::WorkerCommand> commands;
+    reconcile(w, &commands);
+    if (replica_.synced_at < ctx_.resumed_at || !entitled()) {
+      // After a pause, or long without the store, the job may be cancelled and the task
+      // elsewhere, for all that is known here; and a worker in a new agent epoch would run it for a
       // lease.
-      const auto starts =
-          std::erase_if(orders, [](const Order& o) { return o.op == Order::Op::kStart; });
+      const auto starts = std::erase_if(commands, [](const wire::WorkerCommand& o) {
+        return o.op == wire::WorkerCommand::Op::kStart;
+      });
       if (starts > 0) {
         w.next_push = ctx_.now.steady + ctx_.settings.platform.report_s / 20;
         w.attention = true;
@@ -1029,127 +1055,132 @@
     }
     // Forgetting alone is not urgent: the next answer carries it. Before a start it is, since an
     // older attempt that is still listed would make the worker refuse the new one.
-    if (std::none_of(orders.begin(), orders.end(),
-                     [](const Order& o) { return o.op != Order::Op::kForget; }))
+    if (std::none_of(commands.begin(), commands.end(), [](const wire::WorkerCommand& o) {
+          return o.op != wire::WorkerCommand::Op::kRemove;
+        }))
       continue;
-    if (orders.size() > kMaxOrders) orders.resize(kMaxOrders);
-    send(w, std::move(orders), false);
+    if (commands.size() > kMaxCommands) commands.resize(kMaxCommands);
+    send(w, std::move(commands), false);
   }
 }
 
-void Holder::send(Worker& w, std::vector<Order> orders, bool even_if_empty) {
-  if (orders.empty() && !even_if_empty) return;
+void PartitionOwner::send(Worker& w, std::vector<wire::WorkerCommand> commands,
+                          bool even_if_empty) {
+  if (commands.empty() && !even_if_empty) return;
   const double report = ctx_.settings.platform.report_s;
-  w.sending = w.token;
+  w.sending = w.fencing_token;
   ++sends_;
-  const bool starts = std::any_of(orders.begin(), orders.end(),
-                                  [](const Order& o) { return o.op == Order::Op::kStart; });
-  ctx_.debug("holder", "machine {}: {} orders, token {}", w.name, orders.size(), w.token);
-  ctx_.call(
-      Target::kWorker, w.address, "POST", "/commands",
-      worker::encode_commands(w.token, std::max<uint64_t>(1, w.session), orders),
-      report * kCommandReports,
-      [this, name = w.name, token = w.token, starts, report](const CallDone& done) {
-        --sends_;
-        auto it = workers_.find(name);
-        if (it == workers_.end() || it->second.sending != token) return;
-        Worker& x = it->second;
-        x.sending = 0;
-        attend(x);
-        auto r = done.status == 200 || done.status == 409 ? worker::parse_report(done.body)
-                                                          : std::nullopt;
-        if (r && r->machine == name) {
-          if (done.status == 409) x.next_push = ctx_.now.steady + report / 30;
-          if (r->token > x.token) {
-            ctx_.info("holder", "machine {} has token {} above ours {}", name, r->token, x.token);
-            x.next_push = ctx_.now.steady + report;
-            return;
-          }
-          take_report(x, *r);
-          return;
-        }
-        x.next_push = ctx_.now.steady + report / 3;
-        // Not acknowledged: it may still run later, unless a higher token gets there first.
-        if (starts && !done.refused) {
-          x.dirty = std::max(x.dirty, token);
-          x.token = std::max(x.token, token + 1);
-          ctx_.debug("holder", "machine {}: command unacknowledged, token now {}", name, x.token);
-        }
-      });
+  const bool starts = std::any_of(
+      commands.begin(), commands.end(),
+      [](const wire::WorkerCommand& o) { return o.op == wire::WorkerCommand::Op::kStart; });
+  ctx_.debug("holder", "machine {}: {} orders, token {}", w.name, commands.size(), w.fencing_token);
+  ctx_.call(runtime::Target::kWorker, w.address, "POST", "/commands",
+            wire::encode_commands(w.fencing_token, std::max<uint64_t>(1, w.agent_epoch), commands),
+            report * kCommandReports,
+            [this, name = w.name, fencing_token = w.fencing_token, starts,
+             report](const runtime::CallDone& done) {
+              --sends_;
+              auto it = workers_.find(name);
+              if (it == workers_.end() || it->second.sending != fencing_token) return;
+              Worker& x = it->second;
+              x.sending = 0;
+              attend(x);
+              auto r = done.status == 200 || done.status == 409 ? wire::parse_heartbeat(done.body)
+                                                                : std::nullopt;
+              if (r && r->machine == name) {
+                if (done.status == 409) x.next_push = ctx_.now.steady + report / 30;
+                if (r->fencing_token > x.fencing_token) {
+                  ctx_.info("holder", "machine {} has token {} above ours {}", name,
+                            r->fencing_token, x.fencing_token);
+                  x.next_push = ctx_.now.steady + report;
+                  return;
+                }
+                accept_heartbeat(x, *r);
+                return;
+              }
+              x.next_push = ctx_.now.steady + report / 3;
+              // Not acknowledged: it may still run later, unless a higher token gets there first.
+              if (starts && !done.refused) {
+                x.unacknowledged_token = std::max(x.unacknowledged_token, fencing_token);
+                x.fencing_token = std::max(x.fencing_token, fencing_token + 1);
+                ctx_.debug("holder", "machine {}: command unacknowledged, token now {}", name,
+                           x.fencing_token);
+              }
+            });
 }
 
-void Holder::routes(const net::Routes& r) {
+void PartitionOwner::routes(const wire::RoutingUpdate& r) {
   if (r.term < routed_term_) return;
   if (r.full) {
     routed_.clear();
     for (const auto& name : drain_)
-      if (auto w = workers_.find(name); w != workers_.end()) w->second.view_stale = true;
+      if (auto w = workers_.find(name); w != workers_.end()) w->second.status_changed = true;
     drain_.clear();
   }
   for (const auto& name : r.drain)
-    if (auto w = workers_.find(name); w != workers_.end()) w->second.view_stale = true;
+    if (auto w = workers_.find(name); w != workers_.end()) w->second.status_changed = true;
   routed_term_ = r.term;
-  for (const auto& x : r.routes) routed_.insert({x.job, x.chunk});
+  for (const auto& x : r.routes) routed_.insert({x.job, x.shard});
   asked_transfers_.insert(asked_transfers_.end(), r.transfers.begin(), r.transfers.end());
   drain_.insert(r.drain.begin(), r.drain.end());
   for (const auto& m : r.moves) {
-    const TaskRef ref{m.job, m.index};
-    const TaskState* t = replica_.task(ref);
+    const model::TaskRef ref{m.job, m.index};
+    const model::TaskState* t = replica_.task(ref);
     if (t == nullptr || t->attempt != m.attempt) continue;
     auto w = workers_.find(t->machine);
     if (w == workers_.end()) continue;
     evicted_[ref] = m.attempt;
     attend(w->second);
   }
-  place_wanted_ = true;
+  placement_requested_ = true;
 }
 
-// Called once all machines of the blocks held are known here: what a share's owner uses has to be
-// complete before a part of the share is passed on.
-void Holder::transfer_limits() {
+// Called once all machines of the partitions held are known here: what a share's owner uses has to
+// be complete before a part of the share is passed on.
+void PartitionOwner::transfer_quotas() {
   shares_.clear();
-  transfers_.tick([this](int block, uint64_t lease) { return under(block, lease); });
+  transfers_.tick([this](int partition, uint64_t lease) { return under(partition, lease); });
   for (const auto& t : std::exchange(asked_transfers_, {})) {
-    if (!holds(t.from)) continue;
+    if (!owns(t.from)) continue;
     for (auto& [name, w] : workers_) room_of(w);
-    const LimitShare share = placement::limit_share(ctx_.settings, replica_, t.team, t.from);
-    const auto& used = team_use_[{t.from, t.team}];
+    const model::QuotaShare share = quota::quota_share(ctx_.settings, replica_, t.team, t.from);
+    const auto& used = quota_use_[{t.from, t.team}];
     transfers_.start(t, {share.cpus - used.first, share.gpus - used.second});
   }
 }
 
-std::vector<net::TeamUse> Holder::team_use() {
-  std::vector<net::TeamUse> out;
-  for (const auto& [at, used] : team_use_) {
-    const auto& [block, team] = at;
+std::vector<wire::QuotaUse> PartitionOwner::quota_use() {
+  std::vector<wire::QuotaUse> out;
+  for (const auto& [at, used] : quota_use_) {
+    const auto& [partition, team] = at;
     auto limits = ctx_.settings.platform.teams.find(team);
-    if (!holds(block) || limits == ctx_.settings.platform.teams.end()) continue;
+    if (!owns(partition) || limits == ctx_.settings.platform.teams.end()) continue;
     if (limits->second.cpus_max <= 0 && limits->second.gpus_max <= 0) continue;
-    const LimitShare leaving = transfers_.leaving(team, block);
-    out.push_back({block, team, used.first + leaving.cpus, used.second + leaving.gpus});
+    const model::QuotaShare leaving = transfers_.leaving(team, partition);
+    out.push_back({partition, team, used.first + leaving.cpus, used.second + leaving.gpus});
   }
   return out;
 }
 
-void Holder::deal_alone() {
-  if (ctx_.now.steady < next_deal_) return;
+void PartitionOwner::route_without_leader() {
+  if (ctx_.now.steady < next_fallback_) return;
   const double report = ctx_.settings.platform.report_s;
-  next_deal_ = ctx_.now.steady + report / 6;
+  next_fallback_ = ctx_.now.steady + report / 6;
   for (const auto& id : replica_.waiting_jobs) {
-    const Job& job = *replica_.job(id);
-    for (uint32_t c = 0; c < job.chunks.size(); ++c) {
-      const Chunk& chunk = job.chunks[c];
-      if (chunk.done + chunk.placed >= chunk.tasks.size()) continue;
-      if (holds(placement::dealt_block(ctx_.settings, replica_, job, c, ctx_.now.wall)))
+    const model::Job& job = *replica_.job(id);
+    for (uint32_t c = 0; c < job.shards.size(); ++c) {
+      const model::TaskShard& shard = job.shards[c];
+      if (shard.done + shard.placed >= shard.tasks.size()) continue;
+      if (owns(quota::fallback_partition(ctx_.settings, replica_, job, c, ctx_.now.wall)))
         routed_.insert({id, c});
       else
         routed_.erase({id, c});
     }
   }
-  if (!routed_.empty()) place_wanted_ = true;
+  if (!routed_.empty()) placement_requested_ = true;
 }
 
-std::string Holder::summary() {
+std::string PartitionOwner::summary() {
   size_t reported = 0, taking = 0, sending = 0, placed = 0;
   std::array<size_t, 5> phases{};
   double cpus = 0, free = 0;
@@ -1172,15 +1203,15 @@
       phases[2], phases[3], phases[4], routed_.size());
 }
 
-net::MachineView Holder::view(Worker& w) {
+wire::MachineStatus PartitionOwner::status_of(Worker& w) {
   const Room& room = room_of(w);
-  net::MachineView v;
+  wire::MachineStatus v;
   v.name = w.name;
   v.up = w.reported;
   v.draining = drain_.count(w.name) != 0;
   v.silent = w.silent;
   v.bad = w.bad;
-  v.warned = w.notice_until.has_value();
+  v.termination_notice = w.terminates_at.has_value();
   v.cpus_free = open(w) ? room.cpus : 0;
   if (open(w))
     std::copy(room.cpus_by_priority.begin(), room.cpus_by_priority.end(),
@@ -1196,14 +1227,14 @@
   return v;
 }
 
-std::vector<net::MachineView> Holder::take_views(bool all) {
-  std::vector<net::MachineView> out;
+std::vector<wire::MachineStatus> PartitionOwner::take_statuses(bool all) {
+  std::vector<wire::MachineStatus> out;
   size_t i = turn_;
   for (auto& [name, w] : workers_) {
     const bool turn = ++i % kTurns == 0;
-    if (!all && !turn && !w.view_stale) continue;
-    w.view_stale = false;
-    net::MachineView v = view(w);
+    if (!all && !turn && !w.status_changed) continue;
+    w.status_changed = false;
+    wire::MachineStatus v = status_of(w);
     if (!all && !turn && v == w.told) continue;
     w.told = v;
     out.push_back(std::move(v));
@@ -1211,12 +1242,12 @@
   return out;
 }
 
-std::vector<net::Address> Holder::take_addresses() {
-  std::vector<net::Address> out = std::exchange(fresh_addresses_, {});
+std::vector<wire::Address> PartitionOwner::take_addresses() {
+  std::vector<wire::Address> out = std::exchange(fresh_addresses_, {});
   size_t i = ++turn_;
   for (const auto& [name, w] : workers_)
     if (++i % kTurns == 0 && !w.address.empty()) out.push_back({name, w.address});
   return out;
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::partition
--- a/src/rooksill/placement/gang_plan.cc
+++ b/src/rooksill/placement/gang_plan.cc
@@ -15,16 +15,16 @@
 };
 
 // Fills the options in the order given; nothing if they do not hold all tasks.
-Plan fill(const std::vector<GangOption>& options, const std::vector<size_t>& order,
+Plan fill(const std::vector<GangOption>& options, const std::vector<size_t>& command,
           const GangDemand& demand) {
   Plan plan;
   uint32_t missing = demand.tasks;
   std::map<int, double> tasks_left = demand.tasks_left;
   std::map<std::string, uint32_t> in_zone;
-  for (size_t i : order) {
+  for (size_t i : command) {
     if (missing == 0) break;
     const GangOption& option = options[i];
-    double& left = tasks_left[option.block];
+    double& left = tasks_left[option.partition];
     uint32_t& there = in_zone[option.zone];
     const uint32_t zone_left = demand.most_in_zone - std::min(there, demand.most_in_zone);
     const double most =
--- a/src/rooksill/placement/gang_plan.h
+++ b/src/rooksill/placement/gang_plan.h
@@ -12,7 +12,7 @@
 // A machine that takes tasks of the gang.
 struct GangOption {
   std::string zone;
-  int block = 0;
+  int partition = 0;
   uint32_t slots = 0;
   double start_s = 0;  // until its image is there
   double score = 0;    // the smaller, the better a place
@@ -29,7 +29,7 @@
   uint32_t tasks = 0;
   bool one_zone = false;             // all of them in one zone
   uint32_t most_in_zone = 0;         // of its tasks that one zone may have
-  std::map<int, double> tasks_left;  // by block: how many more the team's share allows
+  std::map<int, double> tasks_left;  // by partition: how many more the team's share allows
 };
 
 // Places for all tasks, or none. A gang starts when the last of its tasks can: of several zones
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -1,60 +1,61 @@
-#include "rooksill/core/limit_balancer.h"
+#include "rooksill/quota/quota_balancer.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
+namespace rooksill::quota {
 
 namespace {
 constexpr double kPauseReports = 0.5;  // between two transfers of one team's limit
 constexpr double kSlack = 1e-9;        // sums of fractions
 }  // namespace
 
-void LimitBalancer::refresh(const std::vector<net::TeamUse>& used) {
+void QuotaBalancer::refresh(const std::vector<wire::QuotaUse>& used) {
   left_.clear();
   used_.clear();
   shortages_.clear();
-  for (const auto& u : used) used_[{u.team, u.block}] = {u.cpus, u.gpus};
+  for (const auto& u : used) used_[{u.team, u.partition}] = {u.cpus, u.gpus};
 }
 
-LimitShare LimitBalancer::left(const std::string& team, int block) {
-  auto [it, fresh] = left_.try_emplace({team, block});
+model::QuotaShare QuotaBalancer::left(const std::string& team, int partition) {
+  auto [it, fresh] = left_.try_emplace({team, partition});
   if (!fresh) return it->second;
-  it->second = placement::limit_share(ctx_.settings, replica_, team, block);
-  auto used = used_.find({team, block});
+  it->second = quota_share(ctx_.settings, replica_, team, partition);
+  auto used = used_.find({team, partition});
   if (used == used_.end()) return it->second;
   it->second.cpus = std::max(0.0, it->second.cpus - used->second.cpus);
   it->second.gpus = std::max(0.0, it->second.gpus - used->second.gpus);
   return it->second;
 }
 
-double LimitBalancer::tasks_left(const JobSpec& spec, int block) {
-  const LimitShare there = left(spec.team, block);
+double QuotaBalancer::tasks_left(const model::JobSpec& spec, int partition) {
+  const model::QuotaShare there = left(spec.team, partition);
   return spec.tasks_in(there.cpus, there.gpus, std::numeric_limits<double>::infinity());
 }
 
-void LimitBalancer::take(const JobSpec& spec, int block, double tasks) {
-  left(spec.team, block);
-  LimitShare& there = left_[{spec.team, block}];
+void QuotaBalancer::take(const model::JobSpec& spec, int partition, double tasks) {
+  left(spec.team, partition);
+  model::QuotaShare& there = left_[{spec.team, partition}];
   there.cpus = std::max(0.0, there.cpus - tasks * spec.cpus);
   there.gpus = std::max(0.0, there.gpus - tasks * spec.gpus);
 }
 
-void LimitBalancer::note(const JobSpec& spec, double wanted, const std::vector<BlockFit>& fits) {
+void QuotaBalancer::note(const model::JobSpec& spec, double wanted,
+                         const std::vector<PartitionFit>& fits) {
   if (shortages_.count(spec.team) != 0) return;
-  const int blocks = static_cast<int>(fits.size());
+  const int partitions = static_cast<int>(fits.size());
   auto unmet = [&](int b) {
-    const BlockFit& fit = fits[static_cast<size_t>(b)];
+    const PartitionFit& fit = fits[static_cast<size_t>(b)];
     return std::min(fit.room, wanted) - std::min(fit.within_share, wanted);
   };
-  // The block that could do most for this work; among equals that with most left already, so that
-  // what several others have left comes together.
+  // The partition that could do most for this work; among equals that with most left already, so
+  // that what several others have left comes together.
   int to = -1;
-  for (int b = 0; b < blocks; ++b) {
+  for (int b = 0; b < partitions; ++b) {
     if (unmet(b) < 1) continue;
     if (to < 0 || unmet(b) > unmet(to) ||
         (unmet(b) == unmet(to) && left(spec.team, b).cpus > left(spec.team, to).cpus))
@@ -62,28 +63,28 @@
   }
   if (to < 0) return;
   auto beyond = [&](int b, double tasks) {
-    const LimitShare there = left(spec.team, b);
-    return LimitShare{std::max(0.0, there.cpus - tasks * spec.cpus),
-                      std::max(0.0, there.gpus - tasks * spec.gpus)};
+    const model::QuotaShare there = left(spec.team, b);
+    return model::QuotaShare{std::max(0.0, there.cpus - tasks * spec.cpus),
+                             std::max(0.0, there.gpus - tasks * spec.gpus)};
   };
   Shortage s;
   s.to = to;
-  for (int b = 0; b < blocks; ++b)
+  for (int b = 0; b < partitions; ++b)
     s.spare.push_back(beyond(b, std::min(fits[static_cast<size_t>(b)].within_share, wanted)));
-  const LimitShare has = s.spare[static_cast<size_t>(to)];
+  const model::QuotaShare has = s.spare[static_cast<size_t>(to)];
   s.missing = {std::max(0.0, unmet(to) * spec.cpus - has.cpus),
                std::max(0.0, unmet(to) * spec.gpus - has.gpus)};
   shortages_.emplace(spec.team, std::move(s));
 }
 
-std::vector<net::LimitTransfer> LimitBalancer::decide(const std::vector<bool>& can_give) {
-  std::vector<net::LimitTransfer> out;
+std::vector<wire::QuotaTransfer> QuotaBalancer::decide(const std::vector<bool>& can_give) {
+  std::vector<wire::QuotaTransfer> out;
   for (const auto& [team, shortage] : std::exchange(shortages_, {})) {
     const Shortage& s = shortage;
     double& next = next_[team];
-    if (ctx_.now.steady < next || !valid_limit_key(team)) continue;
+    if (ctx_.now.steady < next || !wire::valid_quota_key(team)) continue;
     auto worth = [&](int b) {
-      const LimitShare& spare = s.spare[static_cast<size_t>(b)];
+      const model::QuotaShare& spare = s.spare[static_cast<size_t>(b)];
       return std::min(spare.cpus, s.missing.cpus) + std::min(spare.gpus, s.missing.gpus);
     };
     int from = -1;
@@ -93,13 +94,14 @@
     }
     if (from < 0) continue;
     next = ctx_.now.steady + kPauseReports * ctx_.settings.platform.report_s;
-    const LimitShare& spare = s.spare[static_cast<size_t>(from)];
-    auto division = replica_.divisions.find(team);
-    const uint64_t stamp = division == replica_.divisions.end() ? 0 : division->second.stamp;
+    const model::QuotaShare& spare = s.spare[static_cast<size_t>(from)];
+    auto division = replica_.quota_divisions.find(team);
+    const uint64_t revision =
+        division == replica_.quota_divisions.end() ? 0 : division->second.revision;
     out.push_back({team, from, s.to, std::min(spare.cpus, s.missing.cpus),
-                   std::min(spare.gpus, s.missing.gpus), stamp});
+                   std::min(spare.gpus, s.missing.gpus), revision});
   }
   return out;
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -1,89 +1,92 @@
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/quota/quota_shares.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace rooksill::placement {
+namespace rooksill::quota {
 
 namespace {
 
-constexpr double kDealtReports = 2;  // that a chunk waits with one block while nobody routes
-constexpr double kSmallLimit = 2;    // largest machines for each block below which a limit is small
+constexpr double kFallbackReports = 2;  // that a shard waits with one partition while nobody routes
+constexpr double kSmallLimit =
+    2;  // largest machines for each partition below which a limit is small
 
-double largest(const core::Replica& replica, double core::MachineType::*amount) {
+double largest(const store::Replica& replica, double model::MachineType::*amount) {
   double out = 0;
   for (const auto& [name, type] : replica.types) out = std::max(out, type.*amount);
   return out;
 }
 
-bool is_small(double limit, double largest_machine, int blocks) {
-  return limit < kSmallLimit * largest_machine * blocks;
+bool is_small(double limit, double largest_machine, int partitions) {
+  return limit < kSmallLimit * largest_machine * partitions;
 }
 
-int home_of(const std::string& team, int blocks) {
+int home_of(const std::string& team, int partitions) {
   uint32_t sum = 0;
   for (unsigned char c : team) sum = sum * 31 + c;
-  return static_cast<int>(sum % static_cast<uint32_t>(blocks));
+  return static_cast<int>(sum % static_cast<uint32_t>(partitions));
 }
 
-double first_share(double limit, double largest_machine, const std::string& team, int block,
-                   int blocks) {
-  if (!is_small(limit, largest_machine, blocks)) return limit / blocks;
-  return home_of(team, blocks) == block ? limit : 0;
+double first_share(double limit, double largest_machine, const std::string& team, int partition,
+                   int partitions) {
+  if (!is_small(limit, largest_machine, partitions)) return limit / partitions;
+  return home_of(team, partitions) == partition ? limit : 0;
 }
 
 }  // namespace
 
-core::LimitShare limit_share(const Settings& settings, const core::Replica& replica,
-                             const std::string& team, int block) {
+model::QuotaShare quota_share(const Settings& settings, const store::Replica& replica,
+                              const std::string& team, int partition) {
   constexpr double kNoLimit = std::numeric_limits<double>::infinity();
   auto found = settings.platform.teams.find(team);
   if (found == settings.platform.teams.end()) return {0, 0};
-  const TeamLimits& limits = found->second;
-  const int blocks = static_cast<int>(replica.leases.size());
-  core::LimitShare out;
-  auto recorded = replica.divisions.find(team);
-  if (recorded != replica.divisions.end() && recorded->second.stamp != 0) {
-    out = recorded->second.shares[static_cast<size_t>(block)];
+  const TeamQuota& limits = found->second;
+  const int partitions = static_cast<int>(replica.leases.size());
+  model::QuotaShare out;
+  auto recorded = replica.quota_divisions.find(team);
+  if (recorded != replica.quota_divisions.end() && recorded->second.revision != 0) {
+    out = recorded->second.shares[static_cast<size_t>(partition)];
   } else {
-    out.cpus = first_share(limits.cpus_max, largest(replica, &core::MachineType::cpus), team, block,
-                           blocks);
-    out.gpus = first_share(limits.gpus_max, largest(replica, &core::MachineType::gpus), team, block,
-                           blocks);
+    out.cpus = first_share(limits.cpus_max, largest(replica, &model::MachineType::cpus), team,
+                           partition, partitions);
+    out.gpus = first_share(limits.gpus_max, largest(replica, &model::MachineType::gpus), team,
+                           partition, partitions);
   }
   if (limits.cpus_max <= 0) out.cpus = kNoLimit;
   if (limits.gpus_max <= 0) out.gpus = kNoLimit;
   return out;
 }
 
-int only_home(const Settings& settings, const core::Replica& replica, const std::string& team) {
+int sole_partition(const Settings& settings, const store::Replica& replica,
+                   const std::string& team) {
   auto limits = settings.platform.teams.find(team);
   if (limits == settings.platform.teams.end() || limits->second.cpus_max <= 0) return -1;
-  const int blocks = static_cast<int>(replica.leases.size());
-  const double machine = largest(replica, &core::MachineType::cpus);
-  if (!is_small(limits->second.cpus_max, machine, blocks)) return -1;
+  const int partitions = static_cast<int>(replica.leases.size());
+  const double machine = largest(replica, &model::MachineType::cpus);
+  if (!is_small(limits->second.cpus_max, machine, partitions)) return -1;
   int home = 0;
-  for (int b = 1; b < blocks; ++b)
-    if (limit_share(settings, replica, team, b).cpus >
-        limit_share(settings, replica, team, home).cpus)
+  for (int b = 1; b < partitions; ++b)
+    if (quota_share(settings, replica, team, b).cpus >
+        quota_share(settings, replica, team, home).cpus)
       home = b;
   return home;
 }
 
-int dealt_block(const Settings& settings, const core::Replica& replica, const core::Job& job,
-                uint32_t chunk, double wall) {
-  const double turn_s = kDealtReports * settings.platform.report_s;
-  const int blocks = static_cast<int>(replica.leases.size());
-  // One block at a time decides for a job whose tasks depend on each other's places.
-  const bool whole = job.spec.one_zone || job.spec.spread || job.spec.shape == core::Shape::kGang;
-  uint64_t sum = whole ? 0 : chunk;
+int fallback_partition(const Settings& settings, const store::Replica& replica,
+                       const model::Job& job, uint32_t shard, double wall) {
+  const double turn_s = kFallbackReports * settings.platform.report_s;
+  const int partitions = static_cast<int>(replica.leases.size());
+  // One partition at a time decides for a job whose tasks depend on each other's places.
+  const bool whole = job.spec.one_zone || job.spec.spread || job.spec.shape == model::Shape::kGang;
+  uint64_t sum = whole ? 0 : shard;
   for (unsigned char c : job.spec.id) sum = sum * 31 + c;
   sum += static_cast<uint64_t>(std::max(0.0, wall - job.submitted) / turn_s);
-  for (int i = 0; i < blocks; ++i, ++sum) {
-    const int block = static_cast<int>(sum % static_cast<uint64_t>(blocks));
-    if (limit_share(settings, replica, job.spec.team, block).cpus >= job.spec.cpus) return block;
+  for (int i = 0; i < partitions; ++i, ++sum) {
+    const int partition = static_cast<int>(sum % static_cast<uint64_t>(partitions));
+    if (quota_share(settings, replica, job.spec.team, partition).cpus >= job.spec.cpus)
+      return partition;
   }
   return 0;
 }
 
-}  // namespace rooksill::placement
+}  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -1,14 +1,12 @@
-#include "rooksill/core/limit_transfers.h"
+#include "rooksill/quota/quota_transfers.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "rooksill/core/codec.h"
-#include "rooksill/placement/limit_shares.h"
+#include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::core {
-
-using state::Outcome;
+namespace rooksill::quota {
 
 namespace {
 
@@ -17,23 +15,24 @@
 
 }  // namespace
 
-uint64_t LimitTransfers::stamp_of(const std::string& team) const {
-  auto known = replica_.divisions.find(team);
-  return known == replica_.divisions.end() ? 0 : known->second.stamp;
+uint64_t QuotaTransfers::revision_of(const std::string& team) const {
+  auto known = replica_.quota_divisions.find(team);
+  return known == replica_.quota_divisions.end() ? 0 : known->second.revision;
 }
 
-LimitShare LimitTransfers::leaving(const std::string& team, int block) const {
+model::QuotaShare QuotaTransfers::leaving(const std::string& team, int partition) const {
   auto it = pending_.find(team);
-  if (it == pending_.end() || it->second.from != block) return {};
+  if (it == pending_.end() || it->second.from != partition) return {};
   // Once the division has changed, the state says what is left, whoever changed it.
-  if (stamp_of(team) != it->second.stamp) return {};
+  if (revision_of(team) != it->second.revision) return {};
   return it->second.amount;
 }
 
-void LimitTransfers::start(const net::LimitTransfer& t, const LimitShare& unused) {
-  const int blocks = static_cast<int>(replica_.leases.size());
-  if (t.to < 0 || t.to >= blocks || t.to == t.from) return;
-  if (!valid_limit_key(t.team) || pending_.count(t.team) != 0 || t.stamp != stamp_of(t.team))
+void QuotaTransfers::start(const wire::QuotaTransfer& t, const model::QuotaShare& unused) {
+  const int partitions = static_cast<int>(replica_.leases.size());
+  if (t.to < 0 || t.to >= partitions || t.to == t.from) return;
+  if (!wire::valid_quota_key(t.team) || pending_.count(t.team) != 0 ||
+      t.revision != revision_of(t.team))
     return;
   Pending p;
   p.from = t.from;
@@ -41,33 +40,33 @@
   p.amount.cpus = std::min(t.cpus, finite(unused.cpus));
   p.amount.gpus = std::min(t.gpus, finite(unused.gpus));
   if (!(p.amount.cpus >= 0) || !(p.amount.gpus >= 0) || p.amount.cpus + p.amount.gpus <= 0) return;
-  p.stamp = t.stamp;
-  p.lease = replica_.leases[static_cast<size_t>(t.from)].stamp;
+  p.revision = t.revision;
+  p.lease = replica_.leases[static_cast<size_t>(t.from)].revision;
   ctx_.info("holder", "team {}: {} cores and {} gpus of its limit pass from block {} to block {}",
             t.team, p.amount.cpus, p.amount.gpus, p.from, p.to);
   send(t.team, pending_.emplace(t.team, p).first->second);
 }
 
-void LimitTransfers::send(const std::string& team, Pending& p) {
-  const int blocks = static_cast<int>(replica_.leases.size());
-  std::vector<LimitShare> shares;
-  for (int b = 0; b < blocks; ++b) {
-    const LimitShare share = placement::limit_share(ctx_.settings, replica_, team, b);
+void QuotaTransfers::send(const std::string& team, Pending& p) {
+  const int partitions = static_cast<int>(replica_.leases.size());
+  std::vector<model::QuotaShare> shares;
+  for (int b = 0; b < partitions; ++b) {
+    const model::QuotaShare share = quota_share(ctx_.settings, replica_, team, b);
     shares.push_back({finite(share.cpus), finite(share.gpus)});
   }
-  LimitShare& from = shares[static_cast<size_t>(p.from)];
-  LimitShare& to = shares[static_cast<size_t>(p.to)];
+  model::QuotaShare& from = shares[static_cast<size_t>(p.from)];
+  model::QuotaShare& to = shares[static_cast<size_t>(p.to)];
   from.cpus -= p.amount.cpus;
   from.gpus -= p.amount.gpus;
   to.cpus += p.amount.cpus;
   to.gpus += p.amount.gpus;
-  p.busy =
-      committer_.commit({{limit_key(team), p.stamp}, {lease_key(p.from), p.lease}},
-                        {{limit_key(team), encode_division(shares), 0}},
-                        [this, team](const state::TxnResult& result) { settle(team, result); });
+  p.busy = committer_.commit(
+      {{wire::quota_key(team), p.revision}, {wire::lease_key(p.from), p.lease}},
+      {{wire::quota_key(team), wire::encode_quota_division(shares), 0}},
+      [this, team](const store::TransactionResult& result) { settle(team, result); });
 }
 
-void LimitTransfers::settle(const std::string& team, const state::TxnResult& result) {
+void QuotaTransfers::settle(const std::string& team, const store::TransactionResult& result) {
   auto it = pending_.find(team);
   if (it == pending_.end()) return;
   Pending& p = it->second;
@@ -77,21 +76,21 @@
     });
   };
   switch (result.outcome) {
-    case Outcome::kApplied:
+    case store::TransactionOutcome::kApplied:
       ctx_.count("limit_transfers");
       pending_.erase(it);
       return;
-    case Outcome::kConflict:
+    case store::TransactionOutcome::kConflict:
       // A guard failed, and the keys read back show which: tick() forgets the transfer then.
       read_back(result.failed);
       return;
-    case Outcome::kUnknown:
+    case store::TransactionOutcome::kUnknown:
       p.uncertain = true;
-      read_back({limit_key(team)});
+      read_back({wire::quota_key(team)});
       return;
-    case Outcome::kRefused:
-    case Outcome::kNoLease:
-    case Outcome::kTooLarge:
+    case store::TransactionOutcome::kRefused:
+    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kTooLarge:
       p.busy = false;
       // Not executed. Where one before may yet be, the amount stays gone until that is settled.
       if (!p.uncertain) pending_.erase(it);
@@ -99,15 +98,15 @@
   }
 }
 
-void LimitTransfers::tick(const Holds& holds) {
+void QuotaTransfers::tick(const OwnsPartition& owns) {
   for (auto it = pending_.begin(); it != pending_.end();) {
     const auto& [team, p] = *it;
     // With either guard changed, no copy of the transaction can be carried out any more.
-    const bool over = !holds(p.from, p.lease) || stamp_of(team) != p.stamp;
+    const bool over = !owns(p.from, p.lease) || revision_of(team) != p.revision;
     it = over && !p.busy ? pending_.erase(it) : std::next(it);
   }
   for (auto& [team, p] : pending_)
     if (!p.busy) send(team, p);
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_transfers.h
+++ b/src/rooksill/quota/quota_transfers.h
@@ -1,52 +1,53 @@
-// Transfers of a team's limit from a block held here to another block.
+// Transfers of a team's limit from a partition held here to another partition.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <string>
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/net/peer_codec.h"
-#include "rooksill/state/committer.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/committer.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
 
-namespace rooksill::core {
+namespace rooksill::quota {
 
-// One transaction, written by the holder of the block that gives, takes an amount from one block's
-// share and adds it to another's, so that the state's division never exceeds the limit. It guards
-// the division it was decided on and the giver's lease. From the decision until the outcome is
-// certain the amount counts as gone for the giver; the receiver has it once it is in the state.
-class LimitTransfers {
+// One transaction, written by the owner of the partition that gives, takes an amount from one
+// partition's share and adds it to another's, so that the state's division never exceeds the limit.
+// It guards the division it was decided on and the giver's lease. From the decision until the
+// outcome is certain the amount counts as gone for the giver; the receiver has it once it is in the
+// state.
+class QuotaTransfers {
  public:
-  // Whether this process holds a block under the lease with that revision.
-  using Holds = std::function<bool(int block, uint64_t lease)>;
+  // Whether this process holds a partition under the lease with that revision.
+  using OwnsPartition = std::function<bool(int partition, uint64_t lease)>;
 
-  LimitTransfers(Context& ctx, Replica& replica, state::Committer& committer)
+  QuotaTransfers(runtime::Context& ctx, store::Replica& replica, store::Committer& committer)
       : ctx_(ctx), replica_(replica), committer_(committer) {}
 
   // Begins a transfer of at most what is unused of the giver's share. One at a time for each team.
-  void start(const net::LimitTransfer& transfer, const LimitShare& unused);
+  void start(const wire::QuotaTransfer& transfer, const model::QuotaShare& unused);
   // Sends again what has no certain outcome, and forgets what can no longer be carried out.
-  void tick(const Holds& holds);
-  // What is to leave the block, and may have left it already.
-  LimitShare leaving(const std::string& team, int block) const;
+  void tick(const OwnsPartition& owns);
+  // What is to leave the partition, and may have left it already.
+  model::QuotaShare leaving(const std::string& team, int partition) const;
 
  private:
   struct Pending {
     int from = 0, to = 0;
-    LimitShare amount;
-    uint64_t stamp = 0, lease = 0;  // that the transaction guards
-    bool busy = false;              // sent, or being read back
-    bool uncertain = false;         // a transaction without an answer may yet be carried out
+    model::QuotaShare amount;
+    uint64_t revision = 0, lease = 0;  // that the transaction guards
+    bool busy = false;                 // sent, or being read back
+    bool uncertain = false;            // a transaction without an answer may yet be carried out
   };
   void send(const std::string& team, Pending& pending);
-  void settle(const std::string& team, const state::TxnResult& result);
-  uint64_t stamp_of(const std::string& team) const;
+  void settle(const std::string& team, const store::TransactionResult& result);
+  uint64_t revision_of(const std::string& team) const;
 
-  Context& ctx_;
-  Replica& replica_;
-  state::Committer& committer_;
+  runtime::Context& ctx_;
+  store::Replica& replica_;
+  store::Committer& committer_;
   std::map<std::string, Pending> pending_;  // by team
 };
 
-}  // namespace rooksill::core
+}  // namespace rooksill::quota
--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "rooksill/core/io.h"
+#include "rooksill/runtime/effects.h"
 #include "rooksill/settings/settings.h"
 
-namespace rooksill::core {
+namespace rooksill::runtime {
 
 class Context {
  public:
@@ -65,7 +65,8 @@
   Effects out;
   std::mt19937_64 rng;
   uint64_t incarnation;
-  double woke = -1e9;  // when this process last went on after standing still, by the steady clock
+  double resumed_at =
+      -1e9;  // when this process last went on after standing still, by the steady clock
   bool debug_on = false;
   std::map<std::string, double> counts;
 
@@ -79,4 +80,4 @@
   std::unordered_map<uint64_t, UnderWay> handlers_;
 };
 
-}  // namespace rooksill::core
+}  // namespace rooksill::runtime
--- a/src/rooksill/runtime/effects.h
+++ b/src/rooksill/runtime/effects.h
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-namespace rooksill::core {
+namespace rooksill::runtime {
 
 // ---- effects -------------------------------------------------------------------------------
 
@@ -78,9 +78,9 @@
 
 struct Time {
   double steady = 0;  // seconds, never goes back
-  double wall = 0;    // seconds since the epoch, within the clocks' bound
+  double wall = 0;    // seconds since the revision, within the clocks' bound
 };
 
 using CallHandler = std::function<void(const CallDone&)>;
 
-}  // namespace rooksill::core
+}  // namespace rooksill::runtime
--- a/src/rooksill/runtime/socket_budget.h
+++ b/src/rooksill/runtime/socket_budget.h
@@ -1,7 +1,7 @@
 // How a process's sockets are divided among what it does. Ratios to the platform's `max_sockets`.
 #pragma once
 
-namespace rooksill::core {
+namespace rooksill::runtime {
 
 // Connections that come in: workers, users, health checks.
 inline constexpr double kIncomingSockets = 0.65;
@@ -17,4 +17,4 @@
 static_assert(kCommandSockets + kProbeSockets + kOtherCallSockets <= kOutgoingSockets);
 static_assert(kIncomingSockets + kOutgoingSockets < 1);
 
-}  // namespace rooksill::core
+}  // namespace rooksill::runtime
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// The smallest limits of the state service that a job's record and the end of a job fit into.
+// The smallest limits of the store that a job's record and the end of a job fit into.
 constexpr double kLeastValueKb = 1, kLeastTxnOps = 2;
 
 const json& member(const json& o, const char* name, const std::string& where) {
@@ -50,7 +50,7 @@
   return a;
 }
 
-// The limits of the state service, and those that it will have after the upgrade if it lowers them.
+// The limits of the store, and those that it will have after the upgrade if it lowers them.
 void parse_state_limits(const json& state, PlatformSettings& s) {
   const std::string where = "facts.state.";
   s.state_rps = number(state, "rps", where, 1);
@@ -116,7 +116,7 @@
   const json& teams = member(f, "teams", "facts.");
   if (!teams.is_array()) throw SettingsError("facts.teams: must be an array");
   for (const auto& t : teams) {
-    TeamLimits l;
+    TeamQuota l;
     std::string name = text(t, "name", "facts.teams.");
     l.cpus = optional_number(t, "cpus", "facts.teams.");
     l.cpus_max = optional_number(t, "cpus_max", "facts.teams.");
--- a/src/rooksill/settings/settings.h
+++ b/src/rooksill/settings/settings.h
@@ -17,7 +17,7 @@
   std::string endpoint;
 };
 
-struct TeamLimits {
+struct TeamQuota {
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
@@ -32,7 +32,7 @@
   std::vector<PeerAddress> peers;
   std::string cloud_address, state_address;
   std::vector<std::string> zones;
-  std::map<std::string, TeamLimits> teams;
+  std::map<std::string, TeamQuota> teams;
   std::vector<Objective> objectives;
   int controllers = 3;
   double report_s = 3, lease_s = 30, cancel_s = 60;
@@ -40,7 +40,7 @@
   // told to stop. 0: the platform does not run gangs.
   double gang_wait_s = 0, gang_peer_s = 0;
   double state_rps = 100, state_write_rps = 30;
-  // The state service's rate of changes once it has lowered its limits; the same if it will not.
+  // The store's rate of changes once it has lowered its limits; the same if it will not.
   double state_next_write_rps = 30;
   // The smaller of the present and the coming limits: what is written has to fit both.
   size_t state_value_bytes = 8192, state_txn_ops = 32;
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -1,8 +1,8 @@
-#include "rooksill/state/client.h"
+#include "rooksill/store/client.h"
 
 #include <algorithm>
 
-namespace rooksill::state {
+namespace rooksill::store {
 
 using nlohmann::json;
 
@@ -40,7 +40,7 @@
   writes_.refill(now);
 }
 
-void Client::note(const core::CallDone& done) {
+void Client::note(const runtime::CallDone& done) {
   if (done.status == 429) lowered_ = true;
   if (done.status == 0 || done.status == 503) {
     if (healthy()) failing_since_ = now_;
@@ -51,9 +51,9 @@
 }
 
 bool Client::raw(const std::string& method, const std::string& path, const std::string& body,
-                 double timeout_s, core::CallHandler done) {
+                 double timeout_s, runtime::CallHandler done) {
   if (!requests_.take(1)) return false;
-  call_(method, path, body, timeout_s, [this, done = std::move(done)](const core::CallDone& r) {
+  call_(method, path, body, timeout_s, [this, done = std::move(done)](const runtime::CallDone& r) {
     note(r);
     done(r);
   });
@@ -61,7 +61,7 @@
 }
 
 bool Client::read(const std::string& key, ReadDone done) {
-  return raw("GET", "/store/" + key, "", 1.0, [done = std::move(done)](const core::CallDone& r) {
+  return raw("GET", "/store/" + key, "", 1.0, [done = std::move(done)](const runtime::CallDone& r) {
     ReadResult out;
     if (r.status == 404) {
       out.answered = true;
@@ -70,7 +70,7 @@
       if (j.is_object() && j.contains("v") && j.contains("stamp") &&
           j["stamp"].is_number_unsigned()) {
         out.answered = out.found = true;
-        out.stamp = j["stamp"];
+        out.revision = j["stamp"];
         out.value = std::move(j["v"]);
       }
     }
@@ -78,13 +78,14 @@
   });
 }
 
-bool Client::txn(const std::vector<Guard>& guards, std::vector<Write> writes, TxnDone done) {
+bool Client::txn(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
+                 TransactionDone done) {
   const double puts = static_cast<double>(writes.size());
   if (!room_for(puts, 0)) return false;
   requests_.take(1);
   if (puts > 0) writes_.take(puts);
   json g = json::array(), w = json::array();
-  for (const auto& x : guards) g.push_back({{"k", x.key}, {"stamp", x.stamp}});
+  for (const auto& x : preconditions) g.push_back({{"k", x.key}, {"stamp", x.revision}});
   for (auto& x : writes) {
     if (x.value.is_null()) {
       w.push_back({{"delete", x.key}});
@@ -96,39 +97,39 @@
   }
   json body{{"guards", std::move(g)}, {"writes", std::move(w)}};
   call_("POST", "/txn", body.dump(-1, ' ', false, json::error_handler_t::replace), 1.0,
-        [this, done = std::move(done)](const core::CallDone& r) {
+        [this, done = std::move(done)](const runtime::CallDone& r) {
           note(r);
           done(result_of(r));
         });
   return true;
 }
 
-TxnResult Client::result_of(const core::CallDone& done) {
-  TxnResult out;
+TransactionResult Client::result_of(const runtime::CallDone& done) {
+  TransactionResult out;
   if (done.status == 429 || done.status == 503) {
-    out.outcome = Outcome::kRefused;
+    out.outcome = TransactionOutcome::kRefused;
     writes_.drain();
     return out;
   }
   if (done.status == 0) {
-    out.outcome = done.refused ? Outcome::kRefused : Outcome::kUnknown;
+    out.outcome = done.refused ? TransactionOutcome::kRefused : TransactionOutcome::kUnknown;
     return out;
   }
   const json j = json::parse(done.body, nullptr, false);
   if (done.status == 200 && j.is_object() && j.contains("epoch") &&
       j["epoch"].is_number_unsigned()) {
-    out.outcome = Outcome::kApplied;
-    out.stamp = j["epoch"];
+    out.outcome = TransactionOutcome::kApplied;
+    out.revision = j["epoch"];
   } else if (done.status == 409 && j.is_object() && j.contains("failed") &&
              j["failed"].is_array()) {
-    out.outcome = Outcome::kConflict;
+    out.outcome = TransactionOutcome::kConflict;
     for (const auto& k : j["failed"])
       if (k.is_string()) out.failed.push_back(k);
   } else if (done.status == 400) {
     const bool no_lease = done.body.find("no such lease") != std::string::npos;
-    out.outcome = no_lease ? Outcome::kNoLease : Outcome::kTooLarge;
+    out.outcome = no_lease ? TransactionOutcome::kNoLease : TransactionOutcome::kTooLarge;
   }
   return out;
 }
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -1,4 +1,4 @@
-// The state service: transactions within its limits, reads, the watch.
+// The store: transactions within its limits, reads, the watch.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/core/io.h"
+#include "rooksill/runtime/effects.h"
 #include "rooksill/settings/settings.h"
 
-namespace rooksill::state {
+namespace rooksill::store {
 
-struct Guard {
+struct Precondition {
   std::string key;
-  uint64_t stamp = 0;
+  uint64_t revision = 0;
 };
 
 struct Write {
@@ -27,8 +27,8 @@
   uint64_t lease = 0;    // 0: none
 };
 
-enum class Outcome {
-  kApplied,   // stamp is the revision
+enum class TransactionOutcome {
+  kApplied,   // revision is the revision
   kConflict,  // failed names the keys
   kRefused,   // not executed: 429, 503, or no connection was made
   kTooLarge,  // not executed: a value or the transaction is over the limits, or malformed
@@ -36,15 +36,15 @@
   kNoLease
 };
 
-struct TxnResult {
-  Outcome outcome = Outcome::kUnknown;
-  uint64_t stamp = 0;
+struct TransactionResult {
+  TransactionOutcome outcome = TransactionOutcome::kUnknown;
+  uint64_t revision = 0;
   std::vector<std::string> failed;
 };
 
 struct ReadResult {
   bool answered = false, found = false;
-  uint64_t stamp = 0;
+  uint64_t revision = 0;
   nlohmann::json value;
 };
 
@@ -64,13 +64,13 @@
 };
 
 using CallFn = std::function<void(std::string method, std::string path, std::string body,
-                                  double timeout_s, core::CallHandler)>;
+                                  double timeout_s, runtime::CallHandler)>;
 
 class Client {
  public:
   Client(const PlatformSettings& settings, CallFn call);
 
-  using TxnDone = std::function<void(const TxnResult&)>;
+  using TransactionDone = std::function<void(const TransactionResult&)>;
   using ReadDone = std::function<void(const ReadResult&)>;
 
   // Whether a transaction of so many writes would go out now and leave that part of the limits.
@@ -81,10 +81,11 @@
   void keep(double writes) { kept_ = writes; }
   double kept() const { return kept_; }
   // False when the limits leave no room just now; nothing was sent then.
-  bool txn(const std::vector<Guard>& guards, std::vector<Write> writes, TxnDone done);
+  bool txn(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
+           TransactionDone done);
   bool read(const std::string& key, ReadDone done);
   bool raw(const std::string& method, const std::string& path, const std::string& body,
-           double timeout_s, core::CallHandler done);
+           double timeout_s, runtime::CallHandler done);
 
   // The limits are the controllers' together: each live one takes an equal share. Once the state
   // service refuses by rate, its lower limit (`state.next`) counts, if one was announced.
@@ -97,8 +98,8 @@
   bool healthy() const { return last_answer_ >= last_failure_; }
 
  private:
-  void note(const core::CallDone& done);
-  TxnResult result_of(const core::CallDone& done);
+  void note(const runtime::CallDone& done);
+  TransactionResult result_of(const runtime::CallDone& done);
   double write_limit() const {
     return lowered_ ? settings_.state_next_write_rps : settings_.state_write_rps;
   }
@@ -111,4 +112,4 @@
   bool lowered_ = false;
 };
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/store/committer.cc
+++ b/src/rooksill/store/committer.cc
@@ -1,8 +1,8 @@
-#include "rooksill/state/committer.h"
+#include "rooksill/store/committer.h"
 
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::state {
+namespace rooksill::store {
 
 using nlohmann::json;
 
@@ -10,25 +10,26 @@
 constexpr double kRetry = 0.2;
 }
 
-bool Committer::commit(const std::vector<Guard>& guards, std::vector<Write> writes,
-                       Client::TxnDone done) {
+bool Committer::commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
+                       Client::TransactionDone done) {
   std::vector<Write> copy = writes;
-  return client_.txn(guards, std::move(writes),
-                     [this, copy = std::move(copy), done = std::move(done)](const TxnResult& r) {
-                       if (r.outcome == Outcome::kApplied) {
-                         for (const auto& w : copy) {
-                           if (w.value.is_null()) {
-                             replica_.remove(w.key, r.stamp);
-                             updates_.push_back({w.key, "", r.stamp});
-                             continue;
-                           }
-                           replica_.apply(w.key, w.value, r.stamp);
-                           // The leader's key can vanish with its lease: only the watch tells.
-                           if (w.lease == 0) updates_.push_back({w.key, w.value.dump(), r.stamp});
-                         }
-                       }
-                       done(r);
-                     });
+  return client_.txn(
+      preconditions, std::move(writes),
+      [this, copy = std::move(copy), done = std::move(done)](const TransactionResult& r) {
+        if (r.outcome == TransactionOutcome::kApplied) {
+          for (const auto& w : copy) {
+            if (w.value.is_null()) {
+              replica_.remove(w.key, r.revision);
+              updates_.push_back({w.key, "", r.revision});
+              continue;
+            }
+            replica_.apply(w.key, w.value, r.revision);
+            // The leader's key can vanish with its lease: only the watch tells.
+            if (w.lease == 0) updates_.push_back({w.key, w.value.dump(), r.revision});
+          }
+        }
+        done(r);
+      });
 }
 
 void Committer::refresh(std::vector<std::string> keys, std::function<void()> done) {
@@ -58,9 +59,9 @@
     at->second.busy = false;
     // A page of machines that is read alone may lack what a split has put on another page: a
     // machine would look gone. It is left to the watch, which brings both.
-    const bool ahead = core::is_machines_key(key) && read.stamp > replica_.synced_epoch;
+    const bool ahead = wire::is_machines_key(key) && read.revision > replica_.synced_revision;
     if (read.answered && !ahead) {
-      if (read.found) replica_.apply(key, read.value, read.stamp);
+      if (read.found) replica_.apply(key, read.value, read.revision);
       ++at->second.answered;
     } else {
       at->second.next = ctx_.now.steady + kRetry;
@@ -76,4 +77,4 @@
   for (uint64_t id : ids) advance(id);
 }
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -1,27 +1,28 @@
 // Transactions whose result goes straight into the replica and out to the other controllers.
 #pragma once
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/net/peer_codec.h"
-#include "rooksill/state/client.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/client.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
 
-namespace rooksill::state {
+namespace rooksill::store {
 
 class Committer {
  public:
-  Committer(core::Context& ctx, core::Replica& replica, Client& client)
+  Committer(runtime::Context& ctx, Replica& replica, Client& client)
       : ctx_(ctx), replica_(replica), client_(client) {}
 
   // As Client::txn; what was applied is in the replica before `done` runs.
-  bool commit(const std::vector<Guard>& guards, std::vector<Write> writes, Client::TxnDone done);
+  bool commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
+              Client::TransactionDone done);
 
   // Reads keys back until each is answered; then runs `done`. Used after an unknown outcome and
   // after a conflict: nothing is decided about these keys in the meantime.
   void refresh(std::vector<std::string> keys, std::function<void()> done);
 
   void tick();
-  std::vector<net::Update> take_updates() { return std::exchange(updates_, {}); }
+  std::vector<wire::Update> take_updates() { return std::exchange(updates_, {}); }
 
  private:
   struct Refresh {
@@ -33,12 +34,12 @@
   };
   void advance(uint64_t id);
 
-  core::Context& ctx_;
-  core::Replica& replica_;
+  runtime::Context& ctx_;
+  Replica& replica_;
   Client& client_;
-  std::vector<net::Update> updates_;
+  std::vector<wire::Update> updates_;
   std::map<uint64_t, Refresh> refreshes_;
   uint64_t next_id_ = 1;
 };
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -1,11 +1,11 @@
-#include "rooksill/core/replica.h"
+#include "rooksill/store/replica.h"
 
 #include <charconv>
 
-namespace rooksill::core {
+namespace rooksill::store {
 
 namespace {
-constexpr int kMaxPages = 1000;  // of a block's list: more is no list of ours
+constexpr int kMaxPages = 1000;  // of a partition's list: more is no list of ours
 
 // "3/12" into 3 and 12.
 bool split_numbers(const std::string& text, int& first, int& second) {
@@ -19,42 +19,42 @@
 // As many as fit the present limit with the longest names, and a lower one to come with usual ones.
 uint32_t items_per_value(const PlatformSettings& s, size_t usual_bytes) {
   const size_t items =
-      std::min(s.state_present_value_bytes / kItemBytes, s.state_value_bytes / usual_bytes);
+      std::min(s.state_present_value_bytes / model::kItemBytes, s.state_value_bytes / usual_bytes);
   return static_cast<uint32_t>(std::max<size_t>(1, items));
 }
 }  // namespace
 
-size_t chunk_count(const Job& job) {
-  return (job.spec.tasks + job.chunk_tasks - 1) / job.chunk_tasks;
+size_t shard_count(const model::Job& job) {
+  return (job.spec.tasks + job.tasks_per_shard - 1) / job.tasks_per_shard;
 }
 
-size_t chunk_size(const Job& job, uint32_t chunk) {
-  return std::min<size_t>(job.chunk_tasks, job.spec.tasks - chunk * job.chunk_tasks);
+size_t shard_size(const model::Job& job, uint32_t shard) {
+  return std::min<size_t>(job.tasks_per_shard, job.spec.tasks - shard * job.tasks_per_shard);
 }
 
 Replica::Replica(const PlatformSettings& settings)
     : leases(static_cast<size_t>(settings.controllers)),
       pages(static_cast<size_t>(settings.controllers)),
-      tasks_per_chunk_(items_per_value(settings, kUsualTaskBytes)),
-      machines_per_page_(items_per_value(settings, kUsualMachineBytes)) {}
+      tasks_per_shard_(items_per_value(settings, model::kUsualTaskBytes)),
+      machines_per_page_(items_per_value(settings, model::kUsualMachineBytes)) {}
 
-Job* Replica::job(const std::string& id) {
+model::Job* Replica::job(const std::string& id) {
   auto it = jobs.find(id);
   return it == jobs.end() ? nullptr : &it->second;
 }
-const Job* Replica::job(const std::string& id) const {
+const model::Job* Replica::job(const std::string& id) const {
   auto it = jobs.find(id);
   return it == jobs.end() ? nullptr : &it->second;
 }
-const Machine* Replica::machine(const std::string& name) const {
+const model::Machine* Replica::machine(const std::string& name) const {
   auto it = machines.find(name);
   return it == machines.end() ? nullptr : &it->second;
 }
-const TaskState* Replica::task(const TaskRef& t) const {
-  const Job* j = job(t.job);
+const model::TaskState* Replica::task(const model::TaskRef& t) const {
+  const model::Job* j = job(t.job);
   if (j == nullptr || t.index >= j->spec.tasks) return nullptr;
-  const size_t c = t.index / j->chunk_tasks;
-  return c < j->chunks.size() ? &j->chunks[c].tasks[t.index % j->chunk_tasks] : nullptr;
+  const size_t c = t.index / j->tasks_per_shard;
+  return c < j->shards.size() ? &j->shards[c].tasks[t.index % j->tasks_per_shard] : nullptr;
 }
 const MachineLoad& Replica::load(const std::string& machine) const {
   static const MachineLoad kNone;
@@ -62,11 +62,12 @@
   return it == loads_.end() ? kNone : it->second;
 }
 
-std::map<std::string, uint32_t> Replica::tasks_by_zone(const Job& job) const {
+std::map<std::string, uint32_t> Replica::tasks_by_zone(const model::Job& job) const {
   std::map<std::string, uint32_t> out;
-  for (const auto& c : job.chunks)
+  for (const auto& c : job.shards)
     for (const auto& t : c.tasks)
-      if (const Machine* m = t.machine.empty() ? nullptr : machine(t.machine)) ++out[m->zone];
+      if (const model::Machine* m = t.machine.empty() ? nullptr : machine(t.machine))
+        ++out[m->zone];
   return out;
 }
 
@@ -76,36 +77,36 @@
   return it->second;
 }
 
-Job* Replica::chunk_of(const std::string& name, uint32_t& index) {
+model::Job* Replica::find_shard(const std::string& name, uint32_t& index) {
   auto slash = name.rfind('/');
   if (slash == std::string::npos) return nullptr;
-  Job* j = job(name.substr(0, slash));
+  model::Job* j = job(name.substr(0, slash));
   const char* end = name.data() + name.size();
   auto [p, ec] = std::from_chars(name.data() + slash + 1, end, index);
-  if (j == nullptr || ec != std::errc() || p != end || index >= j->chunks.size()) return nullptr;
+  if (j == nullptr || ec != std::errc() || p != end || index >= j->shards.size()) return nullptr;
   return j;
 }
 
-bool Replica::apply(const std::string& key, const nlohmann::json& value, uint64_t stamp) {
-  if (key.compare(0, kPrefix.size(), kPrefix) != 0) return false;
-  const std::string rest = key.substr(kPrefix.size());
+bool Replica::apply(const std::string& key, const nlohmann::json& value, uint64_t revision) {
+  if (key.compare(0, wire::kPrefix.size(), wire::kPrefix) != 0) return false;
+  const std::string rest = key.substr(wire::kPrefix.size());
   if (rest == "lead") {
-    if (stamp <= leader.stamp || !value.is_object()) return false;
-    leader.stamp = stamp;
+    if (revision <= leader.revision || !value.is_object()) return false;
+    leader.revision = revision;
     leader.label = value.value("h", "");
     leader.incarnation = value.value("i", uint64_t{0});
     leader.term = value.value("t", uint64_t{0});
     return true;
   }
   if (rest == "term") {
-    if (stamp <= term_stamp || !value.is_object()) return false;
-    term_stamp = stamp;
+    if (revision <= term_revision || !value.is_object()) return false;
+    term_revision = revision;
     term = value.value("t", uint64_t{0});
     return true;
   }
-  if (kPrefix + rest == kUpgradeKey) {
-    if (stamp <= upgrade.stamp || !decode_upgrade(value, upgrade)) return false;
-    upgrade.stamp = stamp;
+  if (wire::kPrefix + rest == wire::kUpgradeKey) {
+    if (revision <= upgrade.revision || !wire::decode_upgrade(value, upgrade)) return false;
+    upgrade.revision = revision;
     return true;
   }
   if (rest.size() < 3 || rest[1] != '/') return false;
@@ -113,20 +114,20 @@
   switch (rest[0]) {
     case 'j': {
       auto it = jobs.find(name);
-      if (it != jobs.end() && stamp <= it->second.stamp) return false;
-      Job fresh;
-      if (!decode_job(value, fresh)) return false;
-      if (fresh.end != JobEnd::kDone && fresh.spec.id != name) return false;
-      apply_job(name, std::move(fresh), stamp);
+      if (it != jobs.end() && revision <= it->second.revision) return false;
+      model::Job fresh;
+      if (!wire::decode_job(value, fresh)) return false;
+      if (fresh.end != model::JobEnd::kDone && fresh.spec.id != name) return false;
+      apply_job(name, std::move(fresh), revision);
       return true;
     }
     case 't': {
       uint32_t index = 0;
-      Job* j = chunk_of(name, index);
-      if (j == nullptr || stamp <= j->chunks[index].stamp) return false;
-      std::vector<TaskState> tasks;
-      if (!decode_chunk(value, chunk_size(*j, index), tasks)) return false;
-      apply_chunk(*j, index, std::move(tasks), stamp);
+      model::Job* j = find_shard(name, index);
+      if (j == nullptr || revision <= j->shards[index].revision) return false;
+      std::vector<model::TaskState> tasks;
+      if (!wire::decode_shard(value, shard_size(*j, index), tasks)) return false;
+      apply_shard(*j, index, std::move(tasks), revision);
       return true;
     }
     case 'l': {
@@ -134,9 +135,9 @@
       std::from_chars(name.data(), name.data() + name.size(), b);
       if (b < 0 || static_cast<size_t>(b) >= leases.size()) return false;
       auto& lease = leases[static_cast<size_t>(b)];
-      BlockLease fresh;
-      if (stamp <= lease.stamp || !decode_lease(value, fresh)) return false;
-      fresh.stamp = stamp;
+      model::PartitionLease fresh;
+      if (revision <= lease.revision || !wire::decode_lease(value, fresh)) return false;
+      fresh.revision = revision;
       lease = fresh;
       return true;
     }
@@ -145,42 +146,45 @@
       if (!split_numbers(name, b, page) || static_cast<size_t>(b) >= pages.size() ||
           page >= kMaxPages)
         return false;
-      auto& block = pages[static_cast<size_t>(b)];
-      if (block.size() <= static_cast<size_t>(page)) block.resize(static_cast<size_t>(page) + 1);
-      std::map<std::string, Machine> fresh;
-      if (stamp <= block[static_cast<size_t>(page)].stamp || !decode_machines(value, fresh))
+      auto& partition = pages[static_cast<size_t>(b)];
+      if (partition.size() <= static_cast<size_t>(page))
+        partition.resize(static_cast<size_t>(page) + 1);
+      std::map<std::string, model::Machine> fresh;
+      if (revision <= partition[static_cast<size_t>(page)].revision ||
+          !wire::decode_machines(value, fresh))
         return false;
-      apply_machines(b, page, fresh, stamp);
+      apply_machines(b, page, fresh, revision);
       return true;
     }
     case 'n': {
-      LifeSign fresh;
-      LifeSign& known = life_signs[name];
-      if (stamp <= known.stamp || !decode_life_sign(value, fresh)) return false;
-      fresh.stamp = stamp;
+      model::LivenessRecord fresh;
+      model::LivenessRecord& known = liveness_records[name];
+      if (revision <= known.revision || !wire::decode_liveness(value, fresh)) return false;
+      fresh.revision = revision;
       known = std::move(fresh);
       return true;
     }
     case 'v': {
-      VersionRecord fresh;
-      VersionRecord& known = versions[name];
-      if (stamp <= known.stamp || !decode_version(value, fresh)) return false;
-      fresh.stamp = stamp;
+      model::VersionRecord fresh;
+      model::VersionRecord& known = versions[name];
+      if (revision <= known.revision || !wire::decode_version(value, fresh)) return false;
+      fresh.revision = revision;
       known = fresh;
       return true;
     }
     case 'q': {
-      LimitDivision fresh;
-      LimitDivision& known = divisions[name];
-      if (stamp <= known.stamp || !decode_division(value, leases.size(), fresh.shares))
+      model::QuotaDivision fresh;
+      model::QuotaDivision& known = quota_divisions[name];
+      if (revision <= known.revision ||
+          !wire::decode_quota_division(value, leases.size(), fresh.shares))
         return false;
-      fresh.stamp = stamp;
+      fresh.revision = revision;
       known = std::move(fresh);
       return true;
     }
     case 'c': {
-      MachineType t;
-      if (!decode_type(value, t)) return false;
+      model::MachineType t;
+      if (!wire::decode_type(value, t)) return false;
       types[t.name] = t;
       return true;
     }
@@ -189,39 +193,40 @@
   }
 }
 
-void Replica::apply_job(const std::string& id, Job fresh, uint64_t stamp) {
+void Replica::apply_job(const std::string& id, model::Job fresh, uint64_t revision) {
   auto it = jobs.find(id);
   if (it == jobs.end()) {
-    const JobEnd end = cancelled_early_.erase(id) != 0 && fresh.end == JobEnd::kOpen
-                           ? JobEnd::kCancelled
-                           : fresh.end;
-    fresh.end = JobEnd::kOpen;
+    const model::JobEnd end =
+        cancelled_before_record_.erase(id) != 0 && fresh.end == model::JobEnd::kOpen
+            ? model::JobEnd::kCancelled
+            : fresh.end;
+    fresh.end = model::JobEnd::kOpen;
     fresh.spec.id = id;
     fresh.image = image_number(fresh.spec.image);
-    if (end != JobEnd::kDone) {
-      fresh.chunks.resize(chunk_count(fresh));
-      for (uint32_t c = 0; c < fresh.chunks.size(); ++c)
-        fresh.chunks[c].tasks.resize(chunk_size(fresh, c));
+    if (end != model::JobEnd::kDone) {
+      fresh.shards.resize(shard_count(fresh));
+      for (uint32_t c = 0; c < fresh.shards.size(); ++c)
+        fresh.shards[c].tasks.resize(shard_size(fresh, c));
     }
     it = jobs.emplace(id, std::move(fresh)).first;
-    note_end(it->second, end);
+    record_end(it->second, end);
   } else {
-    note_end(it->second, fresh.end);  // only the end of a job changes after its creation
+    record_end(it->second, fresh.end);  // only the end of a job changes after its creation
   }
-  Job& j = it->second;
-  j.stamp = stamp;
-  if (j.end == JobEnd::kDone) {
-    // All its tasks are done, whatever was known of them; their chunks are of no more use.
-    for (uint32_t c = 0; c < j.chunks.size(); ++c)
-      for (uint32_t i = 0; i < j.chunks[c].tasks.size(); ++i) {
-        const TaskState& t = j.chunks[c].tasks[i];
-        const TaskRef ref{id, c * j.chunk_tasks + i};
+  model::Job& j = it->second;
+  j.revision = revision;
+  if (j.end == model::JobEnd::kDone) {
+    // All its tasks are done, whatever was known of them; their shards are of no more use.
+    for (uint32_t c = 0; c < j.shards.size(); ++c)
+      for (uint32_t i = 0; i < j.shards[c].tasks.size(); ++i) {
+        const model::TaskState& t = j.shards[c].tasks[i];
+        const model::TaskRef ref{id, c * j.tasks_per_shard + i};
         if (t.done) continue;
         events.push_back({TaskEvent::Kind::kDone, id, t.machine});
         if (!t.machine.empty()) take_off(j, ref, t.machine);
       }
-    j.chunks.clear();
-    j.chunks.shrink_to_fit();
+    j.shards.clear();
+    j.shards.shrink_to_fit();
     j.done = j.spec.tasks;
     j.placed = 0;
   }
@@ -229,24 +234,24 @@
 }
 
 // An end is final: a record from before it, that comes late, does not take it back.
-void Replica::note_end(Job& j, JobEnd end) {
+void Replica::record_end(model::Job& j, model::JobEnd end) {
   if (end == j.end || j.over()) return;
   j.end = end;
-  if (end == JobEnd::kCancelled) cancelled.push_back(j.spec.id);
+  if (end == model::JobEnd::kCancelled) cancelled.push_back(j.spec.id);
 }
 
-void Replica::note_cancelled(const std::string& id) {
-  Job* j = job(id);
+void Replica::record_cancelled(const std::string& id) {
+  model::Job* j = job(id);
   if (j == nullptr) {
-    cancelled_early_.insert(id);
+    cancelled_before_record_.insert(id);
     return;
   }
   if (j->over()) return;
-  note_end(*j, JobEnd::kCancelled);
+  record_end(*j, model::JobEnd::kCancelled);
   touch(*j);
 }
 
-void Replica::touch(const Job& j) {
+void Replica::touch(const model::Job& j) {
   const std::string& id = j.spec.id;
   if (j.over())
     open_jobs.erase(id);
@@ -254,22 +259,23 @@
     open_jobs.insert(id);
   index(j);
   touched_jobs.insert(id);
-  for (const auto& c : j.chunks)
+  for (const auto& c : j.shards)
     for (const auto& t : c.tasks)
       if (!t.machine.empty()) touched_machines.insert(t.machine);
 }
 
-void Replica::put_on(const Job& job, const TaskRef& ref, const std::string& machine) {
+void Replica::put_on(const model::Job& job, const model::TaskRef& ref, const std::string& machine) {
   MachineLoad& l = loads_[machine];
   touched_machines.insert(machine);
   if (!l.tasks.insert(ref).second) return;
   l.cpus += job.spec.cpus;
   l.gpus += job.spec.gpus;
   l.memory += job.spec.memory_gb;
-  if (job.spec.shape == Shape::kService) l.replica_cpus += job.spec.cpus;
+  if (job.spec.shape == model::Shape::kService) l.replica_cpus += job.spec.cpus;
 }
 
-void Replica::take_off(const Job& job, const TaskRef& ref, const std::string& machine) {
+void Replica::take_off(const model::Job& job, const model::TaskRef& ref,
+                       const std::string& machine) {
   touched_machines.insert(machine);
   auto it = loads_.find(machine);
   if (it == loads_.end() || it->second.tasks.erase(ref) == 0) return;
@@ -281,16 +287,17 @@
   l.cpus -= job.spec.cpus;
   l.gpus -= job.spec.gpus;
   l.memory -= job.spec.memory_gb;
-  if (job.spec.shape == Shape::kService) l.replica_cpus -= job.spec.cpus;
+  if (job.spec.shape == model::Shape::kService) l.replica_cpus -= job.spec.cpus;
 }
 
-void Replica::apply_chunk(Job& j, uint32_t index_of, std::vector<TaskState> tasks, uint64_t stamp) {
-  Chunk& c = j.chunks[index_of];
+void Replica::apply_shard(model::Job& j, uint32_t index_of, std::vector<model::TaskState> tasks,
+                          uint64_t revision) {
+  model::TaskShard& c = j.shards[index_of];
   for (uint32_t i = 0; i < tasks.size(); ++i) {
-    const TaskState& was = c.tasks[i];
-    const TaskState& is = tasks[i];
+    const model::TaskState& was = c.tasks[i];
+    const model::TaskState& is = tasks[i];
     if (was == is) continue;
-    const TaskRef ref{j.spec.id, index_of * j.chunk_tasks + i};
+    const model::TaskRef ref{j.spec.id, index_of * j.tasks_per_shard + i};
     if (was.machine != is.machine) {
       if (!was.machine.empty()) {
         take_off(j, ref, was.machine);
@@ -304,30 +311,32 @@
     if (is.done && !was.done) events.push_back({TaskEvent::Kind::kDone, ref.job, was.machine});
   }
   c.tasks = std::move(tasks);
-  c.stamp = stamp;
+  c.revision = revision;
   count(j, c);
   touched_jobs.insert(j.spec.id);
 }
 
-void Replica::apply_machines(int block, int page, const std::map<std::string, Machine>& fresh,
-                             uint64_t stamp) {
-  MachinePage& p = pages[static_cast<size_t>(block)][static_cast<size_t>(page)];
-  p.stamp = stamp;
+void Replica::apply_machines(int partition, int page,
+                             const std::map<std::string, model::Machine>& fresh,
+                             uint64_t revision) {
+  MachinePage& p = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
+  p.revision = revision;
   std::vector<std::string> changed;
   for (const auto& name : p.names) {
     if (fresh.count(name) != 0) continue;
     // A page that was split: the machine is on another page by the same transaction, which writes
     // that page first.
     auto known = machines.find(name);
-    if (known != machines.end() && (known->second.block != block || known->second.page != page))
+    if (known != machines.end() &&
+        (known->second.partition != partition || known->second.page != page))
       continue;
     machines.erase(name);
     changed.push_back(name);
   }
   p.names.clear();
   for (const auto& [name, listed] : fresh) {
-    Machine m = listed;
-    m.block = block;
+    model::Machine m = listed;
+    m.partition = partition;
     m.page = page;
     p.names.insert(name);
     auto [known, added] = machines.try_emplace(name, std::move(m));
@@ -342,7 +351,7 @@
   }
 }
 
-void Replica::count(Job& j, Chunk& c) {
+void Replica::count(model::Job& j, model::TaskShard& c) {
   j.done -= c.done;
   j.placed -= c.placed;
   c.done = c.placed = 0;
@@ -357,7 +366,7 @@
   index(j);
 }
 
-void Replica::index(const Job& j) {
+void Replica::index(const model::Job& j) {
   auto keep = [&](std::set<std::string>& in, bool yes) {
     if (yes)
       in.insert(j.spec.id);
@@ -370,34 +379,34 @@
 
 // A machine came or went: its tasks are placed, or wait again.
 void Replica::recount(const std::string& machine) {
-  std::set<std::pair<std::string, uint32_t>> chunks;
+  std::set<std::pair<std::string, uint32_t>> shards;
   for (const auto& ref : placed_on(machine))
-    chunks.insert({ref.job, ref.index / jobs.at(ref.job).chunk_tasks});
-  for (const auto& [id, c] : chunks) {
-    Job& j = jobs.at(id);
-    count(j, j.chunks[c]);
+    shards.insert({ref.job, ref.index / jobs.at(ref.job).tasks_per_shard});
+  for (const auto& [id, c] : shards) {
+    model::Job& j = jobs.at(id);
+    count(j, j.shards[c]);
     touched_jobs.insert(id);
   }
 }
 
-void Replica::remove(const std::string& key, uint64_t stamp) {
-  if (key == kLeaderKey) return forget_leader(stamp);
-  const std::string prefix = kPrefix + "t/";
+void Replica::remove(const std::string& key, uint64_t revision) {
+  if (key == wire::kLeaderKey) return forget_leader(revision);
+  const std::string prefix = wire::kPrefix + "t/";
   if (key.compare(0, prefix.size(), prefix) != 0) return;
-  // A chunk goes only when its job is over and none of its tasks is on a machine.
+  // A shard goes only when its job is over and none of its tasks is on a machine.
   uint32_t index_of = 0;
-  Job* j = chunk_of(key.substr(prefix.size()), index_of);
-  if (j == nullptr || stamp <= j->chunks[index_of].stamp) return;
-  std::vector<TaskState> tasks = j->chunks[index_of].tasks;
+  model::Job* j = find_shard(key.substr(prefix.size()), index_of);
+  if (j == nullptr || revision <= j->shards[index_of].revision) return;
+  std::vector<model::TaskState> tasks = j->shards[index_of].tasks;
   for (auto& t : tasks) {
     t.machine.clear();
     t.done = true;
   }
-  apply_chunk(*j, index_of, std::move(tasks), stamp);
+  apply_shard(*j, index_of, std::move(tasks), revision);
 }
 
-void Replica::forget_leader(uint64_t epoch) {
-  if (epoch > leader.stamp) leader = Leadership{};
+void Replica::forget_leader(uint64_t revision) {
+  if (revision > leader.revision) leader = model::Leadership{};
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::store
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -1,8 +1,8 @@
-#include "rooksill/state/syncer.h"
+#include "rooksill/store/replica_sync.h"
 
 #include <algorithm>
 
-namespace rooksill::state {
+namespace rooksill::store {
 
 using nlohmann::json;
 
@@ -15,13 +15,13 @@
 constexpr double kWatchPatience = 0.6;  // s beyond that
 }  // namespace
 
-// Between two watches: each is a request, and a busy state service answers each at once.
-double Syncer::pause() const {
+// Between two watches: each is a request, and a busy store answers each at once.
+double ReplicaSync::pause() const {
   const auto& p = ctx_.settings.platform;
   return p.controllers / (kWatchShare * p.state_rps);
 }
 
-void Syncer::tick() {
+void ReplicaSync::tick() {
   if (busy_ || ctx_.now.steady < next_) return;
   if (listed_)
     watch();
@@ -29,16 +29,16 @@
     list("");
 }
 
-void Syncer::list(const std::string& after) {
+void ReplicaSync::list(const std::string& after) {
   std::string path =
-      "/store?starts=" + core::kPrefix + "&from=" + after + "&most=" + std::to_string(kPage);
-  if (after.empty()) path = "/store?starts=" + core::kPrefix + "&most=" + std::to_string(kPage);
+      "/store?starts=" + wire::kPrefix + "&from=" + after + "&most=" + std::to_string(kPage);
+  if (after.empty()) path = "/store?starts=" + wire::kPrefix + "&most=" + std::to_string(kPage);
   busy_ = client_.raw("GET", path, "", 2.0,
-                      [this, after](const core::CallDone& d) { on_page(d, after); });
+                      [this, after](const runtime::CallDone& d) { on_page(d, after); });
   if (!busy_) next_ = ctx_.now.steady + pause();
 }
 
-void Syncer::on_page(const core::CallDone& done, const std::string& after) {
+void ReplicaSync::on_page(const runtime::CallDone& done, const std::string& after) {
   busy_ = false;
   json j = done.status == 200 ? json::parse(done.body, nullptr, false) : json();
   if (!j.is_object() || !j.contains("items") || !j["items"].is_array() || !j.contains("epoch") ||
@@ -47,14 +47,14 @@
     return;
   }
   if (after.empty()) {
-    epoch_ = j["epoch"];
+    revision_ = j["epoch"];
     leader_seen_ = false;
   }
   std::string last;
   for (const auto& item : j["items"]) {
     if (!item.is_object() || !item.contains("k") || !item.contains("v")) continue;
     last = item.value("k", "");
-    if (last == core::kLeaderKey) leader_seen_ = true;
+    if (last == wire::kLeaderKey) leader_seen_ = true;
     replica_.apply(last, item["v"], item.value("stamp", uint64_t{0}));
   }
   if (j.value("truncated", false) && !last.empty()) {
@@ -62,29 +62,29 @@
     if (!busy_) listed_ = false;  // start again from the first page
     return;
   }
-  // A leader's key that is in no page has gone. A leader elected since is above this epoch.
-  if (!leader_seen_) replica_.forget_leader(epoch_ + 1);
+  // A leader's key that is in no page has gone. A leader elected since is above this revision.
+  if (!leader_seen_) replica_.forget_leader(revision_ + 1);
   listed_ = true;
-  replica_.synced_epoch = std::max(replica_.synced_epoch, epoch_);
+  replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   if (!replica_.synced)
-    ctx_.info("state", "replica loaded: {} jobs, epoch {}", replica_.jobs.size(), epoch_);
+    ctx_.info("state", "replica loaded: {} jobs, epoch {}", replica_.jobs.size(), revision_);
   replica_.synced = true;
   watch();
 }
 
-void Syncer::watch() {
+void ReplicaSync::watch() {
   // After a pause the next answer has to come at once, also when nothing has changed.
   const double hold =
-      replica_.synced_at < ctx_.woke ? 0 : kWatchReports * ctx_.settings.platform.report_s;
+      replica_.synced_at < ctx_.resumed_at ? 0 : kWatchReports * ctx_.settings.platform.report_s;
   asked_ = ctx_.now.steady;
-  const std::string path = "/watch?starts=" + core::kPrefix + "&from=" + std::to_string(epoch_) +
+  const std::string path = "/watch?starts=" + wire::kPrefix + "&from=" + std::to_string(revision_) +
                            "&hold_ms=" + std::to_string(static_cast<int>(hold * 1000));
   busy_ = client_.raw("GET", path, "", hold + kWatchPatience,
-                      [this](const core::CallDone& d) { on_watch(d); });
+                      [this](const runtime::CallDone& d) { on_watch(d); });
   if (!busy_) next_ = ctx_.now.steady + pause();
 }
 
-void Syncer::on_watch(const core::CallDone& done) {
+void ReplicaSync::on_watch(const runtime::CallDone& done) {
   busy_ = false;
   if (done.status == 410) {
     listed_ = false;
@@ -99,17 +99,17 @@
   if (j.contains("news") && j["news"].is_array()) {
     for (const auto& e : j["news"]) {
       if (!e.is_object()) continue;
-      const uint64_t stamp = e.value("stamp", uint64_t{0});
+      const uint64_t revision = e.value("stamp", uint64_t{0});
       if (e.contains("put") && e["put"].is_string() && e.contains("v"))
-        replica_.apply(e["put"].get<std::string>(), e["v"], stamp);
+        replica_.apply(e["put"].get<std::string>(), e["v"], revision);
       else if (e.contains("delete") && e["delete"].is_string())
-        replica_.remove(e["delete"].get<std::string>(), stamp);
+        replica_.remove(e["delete"].get<std::string>(), revision);
     }
   }
-  epoch_ = std::max(epoch_, j["epoch"].get<uint64_t>());
-  replica_.synced_epoch = std::max(replica_.synced_epoch, epoch_);
+  revision_ = std::max(revision_, j["epoch"].get<uint64_t>());
+  replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   replica_.synced_at = asked_;
   next_ = ctx_.now.steady + pause();
 }
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/store/replica_sync.h
+++ b/src/rooksill/store/replica_sync.h
@@ -1,15 +1,15 @@
-// Fills the replica from the state service: all pages once, then the watch.
+// Fills the replica from the store: all pages once, then the watch.
 #pragma once
 
-#include "rooksill/core/context.h"
-#include "rooksill/core/replica.h"
-#include "rooksill/state/client.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/client.h"
+#include "rooksill/store/replica.h"
 
-namespace rooksill::state {
+namespace rooksill::store {
 
-class Syncer {
+class ReplicaSync {
  public:
-  Syncer(core::Context& ctx, core::Replica& replica, Client& client)
+  ReplicaSync(runtime::Context& ctx, Replica& replica, Client& client)
       : ctx_(ctx), replica_(replica), client_(client) {}
   void tick();
 
@@ -17,15 +17,15 @@
   void list(const std::string& after);
   void watch();
   double pause() const;
-  void on_page(const core::CallDone& done, const std::string& after);
-  void on_watch(const core::CallDone& done);
+  void on_page(const runtime::CallDone& done, const std::string& after);
+  void on_watch(const runtime::CallDone& done);
 
-  core::Context& ctx_;
-  core::Replica& replica_;
+  runtime::Context& ctx_;
+  Replica& replica_;
   Client& client_;
   bool listed_ = false, busy_ = false, leader_seen_ = false;
-  uint64_t epoch_ = 0;
+  uint64_t revision_ = 0;
   double next_ = 0, asked_ = 0;
 };
 
-}  // namespace rooksill::state
+}  // namespace rooksill::store
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -1,17 +1,17 @@
-#include "rooksill/cloud/codec.h"
+#include "rooksill/wire/cloud_codec.h"
 
 #include <nlohmann/json.hpp>
 
-namespace rooksill::cloud {
+namespace rooksill::wire {
 
 using nlohmann::json;
 
-std::optional<std::vector<core::MachineType>> parse_catalog(const std::string& body) try {
+std::optional<std::vector<model::MachineType>> parse_catalog(const std::string& body) try {
   json j = json::parse(body, nullptr, false);
   if (!j.is_object()) return std::nullopt;
-  std::vector<core::MachineType> out;
+  std::vector<model::MachineType> out;
   for (const auto& b : j.at("builds")) {
-    core::MachineType t;
+    model::MachineType t;
     t.name = b.at("label").get<std::string>();
     t.cpus = b.at("cores").get<double>();
     t.gpus = b.value("gpus", 0.0);
@@ -71,4 +71,4 @@
   return json{{"perches", names}}.dump();
 }
 
-}  // namespace rooksill::cloud
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/core/model.h"
+#include "rooksill/model/model.h"
 
-namespace rooksill::cloud {
+namespace rooksill::wire {
 
 struct ListedMachine {
   std::string name, address, type, zone;
@@ -20,11 +20,11 @@
   bool more = false;
 };
 
-std::optional<std::vector<core::MachineType>> parse_catalog(const std::string& body);
+std::optional<std::vector<model::MachineType>> parse_catalog(const std::string& body);
 std::optional<ListPage> parse_list(const std::string& body);
 std::optional<std::vector<std::string>> parse_rented(const std::string& body);
 std::string encode_rental(const std::string& request, const std::string& type,
                           const std::string& zone, bool spot, int count);
 std::string encode_release(const std::vector<std::string>& names);
 
-}  // namespace rooksill::cloud
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -1,5 +1,5 @@
 // What controllers say to one another, in msgpack. All of it is soft: nothing here decides
-// anything that the state service has not been asked about.
+// anything that the store has not been asked about.
 #pragma once
 
 #include <array>
@@ -8,37 +8,37 @@
 #include <unordered_map>
 #include <vector>
 
-namespace rooksill::net {
+namespace rooksill::wire {
 
 enum class PeerKind : int {
-  kBeat = 1,
+  kHeartbeat = 1,
   kUpdates = 2,
-  kRoutes = 3,
-  kSighting = 4,
-  kViews = 5,
+  kRouting = 3,
+  kUnassignedMachine = 4,
+  kMachineStatus = 5,
   kCancelled = 6
 };
 
-// What a machine's holder says of it.
-struct MachineView {
+// What a machine's owner says of it.
+struct MachineStatus {
   std::string name;
-  bool up = false, draining = false, silent = false, bad = false, warned = false;
+  bool up = false, draining = false, silent = false, bad = false, termination_notice = false;
   double cpus_free = 0, gpus_free = 0, memory_free = 0;
   double load = 0;  // share of the machine in use
   uint32_t tasks = 0;
   std::vector<std::string> images;
   std::array<float, 4> cpus_by_priority{};  // of tasks there that are not being stopped
-  MSGPACK_DEFINE_ARRAY(name, up, draining, silent, bad, warned, cpus_free, gpus_free, memory_free,
-                       load, tasks, images, cpus_by_priority)
-  bool operator==(const MachineView&) const = default;
+  MSGPACK_DEFINE_ARRAY(name, up, draining, silent, bad, termination_notice, cpus_free, gpus_free,
+                       memory_free, load, tasks, images, cpus_by_priority)
+  bool operator==(const MachineStatus&) const = default;
 };
 
-using ViewMap = std::unordered_map<std::string, MachineView>;
+using MachineStatusMap = std::unordered_map<std::string, MachineStatus>;
 
 // To the leader: only what has changed, and some of the rest in turn, so that what was lost on the
 // way is made good.
-struct Views {
-  std::vector<MachineView> machines;
+struct MachineStatusUpdate {
+  std::vector<MachineStatus> machines;
   MSGPACK_DEFINE_ARRAY(machines)
 };
 
@@ -47,40 +47,40 @@
   MSGPACK_DEFINE_ARRAY(machine, address)
 };
 
-// How far a controller has what another one said, and the time on the last of its beats.
-struct Heard {
+// How far a controller has what another one said, and the time on the last of its heartbeats.
+struct CancellationAck {
   std::string label;
   uint64_t incarnation = 0, cancelled = 0;
-  double said_at = 0;
-  MSGPACK_DEFINE_ARRAY(label, incarnation, cancelled, said_at)
+  double sent_at = 0;
+  MSGPACK_DEFINE_ARRAY(label, incarnation, cancelled, sent_at)
 };
 
-// What a team's tasks use of its limit in a block, decisions under way counted.
-struct TeamUse {
-  int block = 0;
+// What a team's tasks use of its limit in a partition, decisions under way counted.
+struct QuotaUse {
+  int partition = 0;
   std::string team;
   double cpus = 0, gpus = 0;
-  MSGPACK_DEFINE_ARRAY(block, team, cpus, gpus)
+  MSGPACK_DEFINE_ARRAY(partition, team, cpus, gpus)
 };
 
-struct Beat {
-  bool ready = false, state_ok = false, suspects_itself = false;
+struct ControllerHeartbeat {
+  bool ready = false, store_ok = false, suspects_itself = false;
   uint64_t term = 0;                           // this node leads in this term; 0: it does not
   std::vector<Address> addresses;              // lately learned, and some others in turn
   std::vector<std::string> unreachable_zones;  // whose machines this node cannot reach
-  double state_age = 1e9;                      // s since the state service last answered it
-  double said_at = -1e9;                       // by the sender's steady clock
+  double store_age = 1e9;                      // s since the store last answered it
+  double sent_at = -1e9;                       // by the sender's steady clock
   uint64_t cancelled = 0;                      // cancellations that it has learned of, in all
-  std::vector<Heard> heard;       // one without these, of an older form, vouches for nothing
-  std::vector<TeamUse> team_use;  // of teams with a limit, in the blocks held
-  MSGPACK_DEFINE_ARRAY(ready, state_ok, suspects_itself, term, addresses, unreachable_zones,
-                       state_age, said_at, cancelled, heard, team_use)
+  std::vector<CancellationAck> heard;  // one without these, of an older form, vouches for nothing
+  std::vector<QuotaUse> quota_use;     // of teams with a limit, in the partitions held
+  MSGPACK_DEFINE_ARRAY(ready, store_ok, suspects_itself, term, addresses, unreachable_zones,
+                       store_age, sent_at, cancelled, heard, quota_use)
 };
 
 struct Update {
   std::string key, value;  // no value: deleted
-  uint64_t stamp = 0;
-  MSGPACK_DEFINE_ARRAY(key, value, stamp)
+  uint64_t revision = 0;
+  MSGPACK_DEFINE_ARRAY(key, value, revision)
 };
 
 struct Updates {
@@ -95,41 +95,41 @@
   MSGPACK_DEFINE_ARRAY(first, jobs)
 };
 
-struct Route {
+struct ShardRoute {
   std::string job;
-  uint32_t chunk = 0;
-  MSGPACK_DEFINE_ARRAY(job, chunk)
+  uint32_t shard = 0;
+  MSGPACK_DEFINE_ARRAY(job, shard)
 };
 
 // A task to be moved off a machine that is being emptied.
-struct Move {
+struct TaskMove {
   std::string job;
   uint32_t index = 0;
   uint64_t attempt = 0;
   MSGPACK_DEFINE_ARRAY(job, index, attempt)
 };
 
-// The leader asks the holder of block `from` to pass on a part of its share of a team's limit.
-struct LimitTransfer {
+// The leader asks the owner of partition `from` to pass on a part of its share of a team's limit.
+struct QuotaTransfer {
   std::string team;
   int from = 0, to = 0;
   double cpus = 0, gpus = 0;
-  uint64_t stamp = 0;  // revision of the division that this was decided on
-  MSGPACK_DEFINE_ARRAY(team, from, to, cpus, gpus, stamp)
+  uint64_t revision = 0;  // revision of the division that this was decided on
+  MSGPACK_DEFINE_ARRAY(team, from, to, cpus, gpus, revision)
 };
 
-struct Routes {
+struct RoutingUpdate {
   uint64_t term = 0;
   bool full = false;  // replaces what was routed before
-  std::vector<Route> routes;
+  std::vector<ShardRoute> routes;
   std::vector<std::string> drain;
-  std::vector<Move> moves;
-  std::vector<LimitTransfer> transfers;
+  std::vector<TaskMove> moves;
+  std::vector<QuotaTransfer> transfers;
   MSGPACK_DEFINE_ARRAY(term, full, routes, drain, moves, transfers)
 };
 
-// A worker that reported without being in any block.
-struct Sighting {
+// A worker that reported without being in any partition.
+struct UnassignedMachine {
   std::string machine, address, type, zone;
   bool spot = false;
   MSGPACK_DEFINE_ARRAY(machine, address, type, zone, spot)
@@ -139,9 +139,9 @@
 struct Envelope {
   int version = 1, kind = 0;
   std::string label;
-  uint64_t incarnation = 0, seq = 0;
+  uint64_t incarnation = 0, sequence = 0;
   std::string payload;
-  MSGPACK_DEFINE_ARRAY(version, kind, label, incarnation, seq, payload)
+  MSGPACK_DEFINE_ARRAY(version, kind, label, incarnation, sequence, payload)
 };
 
 template <typename T>
@@ -162,4 +162,4 @@
   return false;
 }
 
-}  // namespace rooksill::net
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/store_codec.cc
+++ b/src/rooksill/wire/store_codec.cc
@@ -1,4 +1,4 @@
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 
 #include <algorithm>
 #include <cctype>
@@ -6,35 +6,35 @@
 #include <nlohmann/json.hpp>
 #include <tuple>
 
-namespace rooksill::core {
+namespace rooksill::wire {
 
 using nlohmann::json;
 
 std::string job_key(const std::string& id) { return kPrefix + "j/" + id; }
-std::string chunk_key(const std::string& id, uint32_t chunk) {
-  return kPrefix + "t/" + id + "/" + std::to_string(chunk);
+std::string shard_key(const std::string& id, uint32_t shard) {
+  return kPrefix + "t/" + id + "/" + std::to_string(shard);
 }
-std::string lease_key(int block) { return kPrefix + "l/" + std::to_string(block); }
-std::string machines_key(int block, int page) {
-  return kPrefix + "m/" + std::to_string(block) + "/" + std::to_string(page);
+std::string lease_key(int partition) { return kPrefix + "l/" + std::to_string(partition); }
+std::string machines_key(int partition, int page) {
+  return kPrefix + "m/" + std::to_string(partition) + "/" + std::to_string(page);
 }
-std::string life_sign_key(const std::string& label) { return kPrefix + "n/" + label; }
+std::string liveness_key(const std::string& label) { return kPrefix + "n/" + label; }
 std::string type_key(const std::string& name) { return kPrefix + "c/" + name; }
 
-std::string limit_key(const std::string& team) { return kPrefix + "q/" + team; }
+std::string quota_key(const std::string& team) { return kPrefix + "q/" + team; }
 
 std::string version_key(const std::string& label) { return kPrefix + "v/" + label; }
 
 bool is_machines_key(const std::string& key) { return key.rfind(kPrefix + "m/", 0) == 0; }
 
-bool valid_limit_key(const std::string& team) {
-  return !team.empty() && team.size() <= kMaxName &&
+bool valid_quota_key(const std::string& team) {
+  return !team.empty() && team.size() <= model::kMaxName &&
          std::all_of(team.begin(), team.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
          });
 }
 
-json encode_spec(const JobSpec& s) {
+json encode_spec(const model::JobSpec& s) {
   return json{{"id", s.id},
               {"cl", s.job_class},
               {"tm", s.team},
@@ -57,12 +57,12 @@
               {"d", s.deadline_s ? json(*s.deadline_s) : json(nullptr)}};
 }
 
-bool decode_spec(const json& v, JobSpec& s) try {
+bool decode_spec(const json& v, model::JobSpec& s) try {
   s.id = v.at("id");
   s.job_class = v.at("cl");
   s.team = v.at("tm");
-  s.shape = static_cast<Shape>(v.at("sh").get<int>());
-  s.priority = static_cast<Priority>(v.at("pr").get<int>());
+  s.shape = static_cast<model::Shape>(v.at("sh").get<int>());
+  s.priority = static_cast<model::Priority>(v.at("pr").get<int>());
   s.tasks = v.at("n");
   s.cpus = v.at("c");
   s.gpus = v.at("g");
@@ -84,32 +84,32 @@
 }
 
 // Of a job that is done only what its answers need is kept.
-json encode_job(const Job& job) {
-  if (job.end == JobEnd::kDone) return json{{"e", int(job.end)}, {"n", job.spec.tasks}};
+json encode_job(const model::Job& job) {
+  if (job.end == model::JobEnd::kDone) return json{{"e", int(job.end)}, {"n", job.spec.tasks}};
   return json{{"s", encode_spec(job.spec)},
               {"t", job.submitted},
               {"e", int(job.end)},
-              {"k", job.chunk_tasks}};
+              {"k", job.tasks_per_shard}};
 }
 
-bool decode_job(const json& v, Job& job) try {
+bool decode_job(const json& v, model::Job& job) try {
   const int end = v.at("e").get<int>();
-  if (end < int(JobEnd::kOpen) || end > int(JobEnd::kDone)) return false;
-  job.end = static_cast<JobEnd>(end);
-  if (job.end == JobEnd::kDone) {
+  if (end < int(model::JobEnd::kOpen) || end > int(model::JobEnd::kDone)) return false;
+  job.end = static_cast<model::JobEnd>(end);
+  if (job.end == model::JobEnd::kDone) {
     job.spec.tasks = v.at("n");
     return true;
   }
   if (!decode_spec(v.at("s"), job.spec)) return false;
   job.submitted = v.at("t");
-  job.chunk_tasks = v.at("k");
-  return job.chunk_tasks > 0;
+  job.tasks_per_shard = v.at("k");
+  return job.tasks_per_shard > 0;
 } catch (const json::exception&) {
   return false;
 }
 
 // Machines are named once; a task has its machine's number, 0 for none and -1 once it is done.
-json encode_chunk(const std::vector<TaskState>& tasks) {
+json encode_shard(const std::vector<model::TaskState>& tasks) {
   json names = json::array(), places = json::array(), attempts = json::array();
   std::map<std::string, int> numbers;
   for (const auto& t : tasks) {
@@ -125,7 +125,7 @@
   return json{{"m", std::move(names)}, {"p", std::move(places)}, {"a", std::move(attempts)}};
 }
 
-bool decode_chunk(const json& v, size_t count, std::vector<TaskState>& tasks) try {
+bool decode_shard(const json& v, size_t count, std::vector<model::TaskState>& tasks) try {
   const json &names = v.at("m"), &places = v.at("p"), &attempts = v.at("a");
   if (!places.is_array() || places.size() != count || attempts.size() != count) return false;
   tasks.assign(count, {});
@@ -140,20 +140,20 @@
   return false;
 }
 
-json encode_lease(const BlockLease& l) {
-  return json{{"h", l.holder}, {"i", l.incarnation}, {"t", l.token}};
+json encode_lease(const model::PartitionLease& l) {
+  return json{{"h", l.owner}, {"i", l.incarnation}, {"t", l.fencing_token}};
 }
 
-bool decode_lease(const json& v, BlockLease& l) try {
-  l.holder = v.at("h");
+bool decode_lease(const json& v, model::PartitionLease& l) try {
+  l.owner = v.at("h");
   l.incarnation = v.at("i");
-  l.token = v.at("t");
+  l.fencing_token = v.at("t");
   return true;
 } catch (const json::exception&) {
   return false;
 }
 
-json encode_life_sign(const LifeSign& s) {
+json encode_liveness(const model::LivenessRecord& s) {
   return json{{"i", s.incarnation},
               {"u", s.suspects_itself},
               {"f", s.meant_for},
@@ -161,7 +161,7 @@
               {"d", s.unreachable_zones}};
 }
 
-bool decode_life_sign(const json& v, LifeSign& s) try {
+bool decode_liveness(const json& v, model::LivenessRecord& s) try {
   s.incarnation = v.at("i");
   s.suspects_itself = v.at("u");
   s.meant_for = v.at("f").get<std::vector<std::string>>();
@@ -173,7 +173,7 @@
 }
 
 // By kind, so that type and zone are written once.
-json encode_machines(const std::map<std::string, Machine>& machines) {
+json encode_machines(const std::map<std::string, model::Machine>& machines) {
   std::map<std::tuple<std::string, std::string, bool>, json> groups;
   for (const auto& [name, m] : machines) {
     json& group = groups[{m.type, m.zone, m.spot}];
@@ -187,10 +187,10 @@
   return json{{"g", std::move(out)}};
 }
 
-bool decode_machines(const json& v, std::map<std::string, Machine>& machines) try {
+bool decode_machines(const json& v, std::map<std::string, model::Machine>& machines) try {
   machines.clear();
   for (const auto& group : v.at("g")) {
-    Machine m;
+    model::Machine m;
     m.type = group.at(0);
     m.zone = group.at(1);
     m.spot = group.at(2).get<int>() != 0;
@@ -205,7 +205,7 @@
   return false;
 }
 
-json encode_division(const std::vector<LimitShare>& shares) {
+json encode_quota_division(const std::vector<model::QuotaShare>& shares) {
   json cpus = json::array(), gpus = json::array();
   for (const auto& s : shares) {
     cpus.push_back(s.cpus);
@@ -214,12 +214,14 @@
   return json{{"c", std::move(cpus)}, {"g", std::move(gpus)}};
 }
 
-bool decode_division(const json& v, size_t blocks, std::vector<LimitShare>& shares) try {
+bool decode_quota_division(const json& v, size_t partitions,
+                           std::vector<model::QuotaShare>& shares) try {
   const json &cpus = v.at("c"), &gpus = v.at("g");
-  if (!cpus.is_array() || !gpus.is_array() || cpus.size() != blocks || gpus.size() != blocks)
+  if (!cpus.is_array() || !gpus.is_array() || cpus.size() != partitions ||
+      gpus.size() != partitions)
     return false;
-  shares.assign(blocks, {});
-  for (size_t b = 0; b < blocks; ++b) {
+  shares.assign(partitions, {});
+  for (size_t b = 0; b < partitions; ++b) {
     shares[b] = {cpus[b].get<double>(), gpus[b].get<double>()};
     if (!(shares[b].cpus >= 0) || !(shares[b].gpus >= 0)) return false;
   }
@@ -228,11 +230,11 @@
   return false;
 }
 
-json encode_version(const VersionRecord& record) {
+json encode_version(const model::VersionRecord& record) {
   return json{{"v", record.version}, {"i", record.incarnation}};
 }
 
-bool decode_version(const json& v, VersionRecord& record) try {
+bool decode_version(const json& v, model::VersionRecord& record) try {
   record.version = v.at("v");
   record.incarnation = v.at("i");
   return true;
@@ -240,22 +242,22 @@
   return false;
 }
 
-json encode_upgrade(const UpgradeRecord& record) { return json{{"v", record.version}}; }
+json encode_upgrade(const model::UpgradeRecord& record) { return json{{"v", record.version}}; }
 
-bool decode_upgrade(const json& v, UpgradeRecord& record) try {
+bool decode_upgrade(const json& v, model::UpgradeRecord& record) try {
   record.version = v.at("v");
   return true;
 } catch (const json::exception&) {
   return false;
 }
 
-json encode_type(const MachineType& t) {
+json encode_type(const model::MachineType& t) {
   return json{{"n", t.name},     {"c", t.cpus},           {"g", t.gpus},  {"m", t.memory_gb},
               {"k", t.cache_gb}, {"f", t.fetch_gb_per_s}, {"p", t.price}, {"s", t.spot_price},
               {"b", t.boot_s},   {"z", t.zones}};
 }
 
-bool decode_type(const json& v, MachineType& t) try {
+bool decode_type(const json& v, model::MachineType& t) try {
   t.name = v.at("n");
   t.cpus = v.at("c");
   t.gpus = v.at("g");
@@ -271,12 +273,12 @@
   return false;
 }
 
-std::string task_name(const TaskRef& t) { return t.job + "/" + std::to_string(t.index); }
+std::string task_name(const model::TaskRef& t) { return t.job + "/" + std::to_string(t.index); }
 
-std::optional<TaskRef> parse_task_name(const std::string& name) {
+std::optional<model::TaskRef> parse_task_name(const std::string& name) {
   auto slash = name.rfind('/');
   if (slash == std::string::npos || slash + 1 >= name.size()) return std::nullopt;
-  TaskRef t;
+  model::TaskRef t;
   t.job = name.substr(0, slash);
   const char* end = name.data() + name.size();
   auto [p, ec] = std::from_chars(name.data() + slash + 1, end, t.index);
@@ -290,4 +292,4 @@
                      [](unsigned char c) { return c >= '0' && c <= '9'; });
 }
 
-}  // namespace rooksill::core
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/user_codec.cc
+++ b/src/rooksill/wire/user_codec.cc
@@ -1,18 +1,18 @@
-#include "rooksill/api/codec.h"
+#include "rooksill/wire/user_codec.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::api {
+namespace rooksill::wire {
 
 using nlohmann::json;
 
 namespace {
 
 constexpr uint64_t kMaxTasks = 100000;
-constexpr size_t kMaxName = 200;
+constexpr size_t kMaxTextBytes = 200;
 constexpr size_t kMaxTypes = 64;
 
 struct Bad {
@@ -33,7 +33,7 @@
 std::string name_of(const json& v, const char* name) {
   if (!v.is_string()) throw Bad{name};
   auto s = v.get<std::string>();
-  if (s.empty() || s.size() > kMaxName) throw Bad{name};
+  if (s.empty() || s.size() > kMaxTextBytes) throw Bad{name};
   return s;
 }
 
@@ -56,35 +56,35 @@
 
 }  // namespace
 
-std::optional<core::JobSpec> parse_job(const std::string& body, std::string& error) try {
+std::optional<model::JobSpec> parse_job(const std::string& body, std::string& error) try {
   json j = json::parse(body, nullptr, false);
   if (!j.is_object()) {
     error = "not a JSON object";
     return std::nullopt;
   }
-  core::JobSpec s;
+  model::JobSpec s;
   s.id = text(j, "id");
-  if (!core::valid_job_id(s.id)) throw Bad{"id"};
+  if (!valid_job_id(s.id)) throw Bad{"id"};
   s.job_class = text(j, "flock");
   s.team = text(j, "owner");
   const std::string shape = text(j, "shape");
   if (shape == "batch")
-    s.shape = core::Shape::kArray;
+    s.shape = model::Shape::kArray;
   else if (shape == "service")
-    s.shape = core::Shape::kService;
+    s.shape = model::Shape::kService;
   else if (shape == "ensemble")
-    s.shape = core::Shape::kGang;  // not in the protocol's text; see docs/questions.md
+    s.shape = model::Shape::kGang;  // not in the protocol's text; see docs/questions.md
   else
     throw Bad{"shape"};
   const std::string rank = text(j, "rank");
   if (rank == "prod")
-    s.priority = core::Priority::kProd;
+    s.priority = model::Priority::kProd;
   else if (rank == "urgent")
-    s.priority = core::Priority::kUrgent;
+    s.priority = model::Priority::kUrgent;
   else if (rank == "standard")
-    s.priority = core::Priority::kStandard;
+    s.priority = model::Priority::kStandard;
   else if (rank == "idle")
-    s.priority = core::Priority::kIdle;
+    s.priority = model::Priority::kIdle;
   else
     throw Bad{"rank"};
   const json& pieces = need(j, "pieces");
@@ -118,12 +118,12 @@
   return std::nullopt;
 }
 
-std::string encode_status(const core::Job& job) {
+std::string encode_status(const model::Job& job) {
   const char* status = "queued";
   uint32_t running = job.placed;
-  if (job.end == core::JobEnd::kCancelled) {
+  if (job.end == model::JobEnd::kCancelled) {
     status = "withdrawn";
-  } else if (job.end == core::JobEnd::kDone) {
+  } else if (job.end == model::JobEnd::kDone) {
     status = "done";
     running = 0;
   } else if (running > 0) {
@@ -141,4 +141,4 @@
   return json{{"error", text}}.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-}  // namespace rooksill::api
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/user_codec.h
+++ b/src/rooksill/wire/user_codec.h
@@ -4,14 +4,14 @@
 #include <optional>
 #include <string>
 
-#include "rooksill/core/model.h"
+#include "rooksill/model/model.h"
 
-namespace rooksill::api {
+namespace rooksill::wire {
 
 // Nothing if the body is malformed; `error` then names the field.
-std::optional<core::JobSpec> parse_job(const std::string& body, std::string& error);
-std::string encode_status(const core::Job& job);
+std::optional<model::JobSpec> parse_job(const std::string& body, std::string& error);
+std::string encode_status(const model::Job& job);
 std::string encode_accepted(const std::string& id);
 std::string encode_error(const std::string& text);
 
-}  // namespace rooksill::api
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -1,28 +1,28 @@
-#include "rooksill/worker/codec.h"
+#include "rooksill/wire/worker_codec.h"
 
 #include <nlohmann/json.hpp>
 
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 
-namespace rooksill::worker {
+namespace rooksill::wire {
 
 using nlohmann::json;
 
 namespace {
 
-json encode_orders(const std::vector<Order>& orders) {
+json encode_command_list(const std::vector<WorkerCommand>& commands) {
   json a = json::array();
-  for (const auto& o : orders) {
-    json x{{"piece", core::task_name(o.task)}, {"try", o.attempt}};
+  for (const auto& o : commands) {
+    json x{{"piece", task_name(o.task)}, {"try", o.attempt}};
     switch (o.op) {
-      case Order::Op::kStart:
+      case WorkerCommand::Op::kStart:
         x["verb"] = "start";
         break;
-      case Order::Op::kStop:
+      case WorkerCommand::Op::kStop:
         x["verb"] = "stop";
         x["mercy_s"] = o.grace_s;
         break;
-      case Order::Op::kForget:
+      case WorkerCommand::Op::kRemove:
         x["verb"] = "reap";
         break;
     }
@@ -31,51 +31,51 @@
   return a;
 }
 
-std::optional<Phase> parse_phase(const std::string& s) {
-  if (s == "pulling") return Phase::kFetching;
-  if (s == "gathering") return Phase::kGathering;
-  if (s == "running") return Phase::kRunning;
-  if (s == "saving") return Phase::kSaving;
-  if (s == "exited") return Phase::kExited;
+std::optional<TaskPhase> parse_phase(const std::string& s) {
+  if (s == "pulling") return TaskPhase::kFetching;
+  if (s == "gathering") return TaskPhase::kWaitingForGang;
+  if (s == "running") return TaskPhase::kRunning;
+  if (s == "saving") return TaskPhase::kSaving;
+  if (s == "exited") return TaskPhase::kExited;
   return std::nullopt;
 }
 
-Cause parse_cause(const std::string& s) {
-  if (s == "done") return Cause::kDone;
-  if (s == "stopped") return Cause::kStopped;
-  if (s == "mates_gone") return Cause::kMatesGone;
-  if (s == "alone") return Cause::kAlone;
-  if (s == "no_room") return Cause::kNoRoom;
-  if (s == "busy") return Cause::kBusy;
-  if (s == "no_such") return Cause::kUnknownTask;
-  return Cause::kError;
+ExitCause parse_cause(const std::string& s) {
+  if (s == "done") return ExitCause::kDone;
+  if (s == "stopped") return ExitCause::kStopped;
+  if (s == "mates_gone") return ExitCause::kGangMemberLost;
+  if (s == "alone") return ExitCause::kGangIncomplete;
+  if (s == "no_room") return ExitCause::kNoRoom;
+  if (s == "busy") return ExitCause::kBusy;
+  if (s == "no_such") return ExitCause::kUnknownTask;
+  return ExitCause::kError;
 }
 
 }  // namespace
 
-std::optional<Report> parse_report(const std::string& body) try {
+std::optional<WorkerHeartbeat> parse_heartbeat(const std::string& body) try {
   json j = json::parse(body, nullptr, false);
   if (!j.is_object()) return std::nullopt;
-  Report r;
+  WorkerHeartbeat r;
   r.machine = j.at("perch").get<std::string>();
   r.address = j.at("address").get<std::string>();
   r.type = j.at("build").get<std::string>();
   r.zone = j.at("ward").get<std::string>();
   r.spot = j.at("loaners").get<bool>();
-  r.session = j.at("tenure").get<uint64_t>();
-  r.seq = j.at("tally").get<uint64_t>();
-  r.token = j.at("baton").get<uint64_t>();
+  r.agent_epoch = j.at("tenure").get<uint64_t>();
+  r.sequence = j.at("tally").get<uint64_t>();
+  r.fencing_token = j.at("baton").get<uint64_t>();
   auto notice = j.find("warning_s");
-  if (notice != j.end() && !notice->is_null()) r.notice_s = notice->get<double>();
+  if (notice != j.end() && !notice->is_null()) r.termination_notice_s = notice->get<double>();
   for (const auto& p : j.at("pieces")) {
     ReportedTask t;
-    auto ref = core::parse_task_name(p.at("piece").get<std::string>());
+    auto ref = parse_task_name(p.at("piece").get<std::string>());
     auto phase = parse_phase(p.at("status").get<std::string>());
     if (!ref || !phase) return std::nullopt;
     t.task = *ref;
     t.attempt = p.at("try").get<uint64_t>();
     t.phase = *phase;
-    if (t.phase == Phase::kExited) t.cause = parse_cause(p.value("cause", "error"));
+    if (t.phase == TaskPhase::kExited) t.cause = parse_cause(p.value("cause", "error"));
     r.tasks.push_back(std::move(t));
   }
   if (r.machine.empty() || r.machine.size() > 100) return std::nullopt;
@@ -84,12 +84,15 @@
   return std::nullopt;
 }
 
-std::string encode_answer(uint64_t token, const std::vector<Order>& orders) {
-  return json{{"baton", token}, {"orders", encode_orders(orders)}}.dump();
+std::string encode_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
+  return json{{"baton", fencing_token}, {"orders", encode_command_list(commands)}}.dump();
 }
 
-std::string encode_commands(uint64_t token, uint64_t session, const std::vector<Order>& orders) {
-  return json{{"baton", token}, {"tenure", session}, {"orders", encode_orders(orders)}}.dump();
+std::string encode_commands(uint64_t fencing_token, uint64_t agent_epoch,
+                            const std::vector<WorkerCommand>& commands) {
+  return json{
+      {"baton", fencing_token}, {"tenure", agent_epoch}, {"orders", encode_command_list(commands)}}
+      .dump();
 }
 
 std::string encode_redirect(const std::string& label) {
@@ -97,4 +100,4 @@
   return json{{"steward", label}}.dump();
 }
 
-}  // namespace rooksill::worker
+}  // namespace rooksill::wire
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -5,19 +5,19 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/core/model.h"
+#include "rooksill/model/model.h"
 
-namespace rooksill::worker {
+namespace rooksill::wire {
 
 // kGathering: a gang's task that has its image and waits for the others.
-enum class Phase { kFetching, kGathering, kRunning, kSaving, kExited };
+enum class TaskPhase { kFetching, kWaitingForGang, kRunning, kSaving, kExited };
 // kMatesGone, kAlone: a gang's task that ended because of the others; says nothing of its machine.
-enum class Cause {
+enum class ExitCause {
   kNone,
   kDone,
   kStopped,
-  kMatesGone,
-  kAlone,
+  kGangMemberLost,
+  kGangIncomplete,
   kError,
   kNoRoom,
   kBusy,
@@ -25,30 +25,31 @@
 };
 
 struct ReportedTask {
-  core::TaskRef task;
+  model::TaskRef task;
   uint64_t attempt = 0;
-  Phase phase = Phase::kFetching;
-  Cause cause = Cause::kNone;
+  TaskPhase phase = TaskPhase::kFetching;
+  ExitCause cause = ExitCause::kNone;
 };
 
-struct Report {
+struct WorkerHeartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, token = 0;
-  std::optional<double> notice_s;
+  uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
+  std::optional<double> termination_notice_s;
   std::vector<ReportedTask> tasks;
 };
 
-struct Order {
-  enum class Op { kStart, kStop, kForget } op;
-  core::TaskRef task;
+struct WorkerCommand {
+  enum class Op { kStart, kStop, kRemove } op;
+  model::TaskRef task;
   uint64_t attempt = 0;
   double grace_s = 0;
 };
 
-std::optional<Report> parse_report(const std::string& body);
-std::string encode_answer(uint64_t token, const std::vector<Order>& orders);
-std::string encode_commands(uint64_t token, uint64_t session, const std::vector<Order>& orders);
+std::optional<WorkerHeartbeat> parse_heartbeat(const std::string& body);
+std::string encode_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
+std::string encode_commands(uint64_t fencing_token, uint64_t agent_epoch,
+                            const std::vector<WorkerCommand>& commands);
 std::string encode_redirect(const std::string& label);
 
-}  // namespace rooksill::worker
+}  // namespace rooksill::wire
--- a/tests/runner/codecs.cc
+++ b/tests/runner/codecs.cc
@@ -2,12 +2,12 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "rooksill/api/codec.h"
-#include "rooksill/cloud/codec.h"
-#include "rooksill/core/codec.h"
 #include "rooksill/net/http_parser.h"
-#include "rooksill/net/peer_codec.h"
-#include "rooksill/worker/codec.h"
+#include "rooksill/wire/cloud_codec.h"
+#include "rooksill/wire/controller_messages.h"
+#include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/user_codec.h"
+#include "rooksill/wire/worker_codec.h"
 #include "runner/kinds.h"
 
 namespace runner {
@@ -74,9 +74,9 @@
   const std::string catalog =
       R"({"builds":[{"label":"g8","cores":96,"gpus":8,"memory_gb":768,"local_gb":200,"pull_gb_per_s":1.0,"hourly":12.0,"market_price":4.5,"ready_s":45,"wards":["a","b"]}]})";
   const std::string http = "POST /api/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello";
-  rooksill::net::Views views;
-  views.machines.resize(2);
-  const std::string peer = rooksill::net::pack(views);
+  rooksill::wire::MachineStatusUpdate statuses;
+  statuses.machines.resize(2);
+  const std::string peer = rooksill::wire::pack(statuses);
   for (const auto& l : lines) {
     if (l.word(0) == "kind") continue;
     const int rounds = static_cast<int>(l.get("rounds", 2000));
@@ -96,24 +96,24 @@
       }
       std::string error;
       if (what == "report") {
-        if (auto r = rooksill::worker::parse_report(text)) ++taken;
+        if (auto r = rooksill::wire::parse_heartbeat(text)) ++taken;
       } else if (what == "job") {
-        auto spec = rooksill::api::parse_job(text, error);
+        auto spec = rooksill::wire::parse_job(text, error);
         if (spec) {
           ++taken;
-          rooksill::core::JobSpec again;
-          auto encoded = rooksill::core::encode_spec(*spec);
-          if (!rooksill::core::decode_spec(encoded, again) ||
-              rooksill::core::encode_spec(again) != encoded)
+          rooksill::model::JobSpec again;
+          auto encoded = rooksill::wire::encode_spec(*spec);
+          if (!rooksill::wire::decode_spec(encoded, again) ||
+              rooksill::wire::encode_spec(again) != encoded)
             fail(l, "does not come back: " + text);
           if (spec->tasks < 1 || spec->tasks > 100000) fail(l, "impossible count");
         } else if (error.empty()) {
           fail(l, "refused without a reason");
         }
       } else if (what == "list") {
-        if (rooksill::cloud::parse_list(text)) ++taken;
+        if (rooksill::wire::parse_list(text)) ++taken;
       } else if (what == "catalog") {
-        if (rooksill::cloud::parse_catalog(text)) ++taken;
+        if (rooksill::wire::parse_catalog(text)) ++taken;
       } else if (what == "http") {
         rooksill::net::HttpParser parser(rooksill::net::HttpParser::Kind::kRequest, 128, 32);
         size_t used = 0;
@@ -122,8 +122,8 @@
           if (parser.take().body.size() > 32) fail(l, "body over its bound");
         }
       } else {
-        rooksill::net::Views v;
-        if (rooksill::net::unpack(text, v)) ++taken;
+        rooksill::wire::MachineStatusUpdate v;
+        if (rooksill::wire::unpack(text, v)) ++taken;
       }
       if (i == 0 && taken == 0) fail(l, "the whole message is not taken");
     }
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -1,5 +1,5 @@
-#include "rooksill/core/codec.h"
-#include "rooksill/net/peer_codec.h"
+#include "rooksill/wire/controller_messages.h"
+#include "rooksill/wire/store_codec.h"
 #include "runner/kinds.h"
 #include "standins/first_version.h"
 
@@ -18,70 +18,74 @@
 template <typename Message>
 std::string written_again(const std::string& bytes) {
   Message message;
-  return rooksill::net::unpack(bytes, message) ? rooksill::net::pack(message) : "";
+  return rooksill::wire::unpack(bytes, message) ? rooksill::wire::pack(message) : "";
 }
 
 std::string message_again(const std::string& bytes) {
-  namespace net = rooksill::net;
-  net::Envelope envelope;
-  if (!net::unpack(bytes, envelope)) return "";
-  switch (static_cast<net::PeerKind>(envelope.kind)) {
-    case net::PeerKind::kBeat:
-      envelope.payload = written_again<net::Beat>(envelope.payload);
+  rooksill::wire::Envelope envelope;
+  if (!rooksill::wire::unpack(bytes, envelope)) return "";
+  switch (static_cast<rooksill::wire::PeerKind>(envelope.kind)) {
+    case rooksill::wire::PeerKind::kHeartbeat:
+      envelope.payload = written_again<rooksill::wire::ControllerHeartbeat>(envelope.payload);
       break;
-    case net::PeerKind::kUpdates:
-      envelope.payload = written_again<net::Updates>(envelope.payload);
+    case rooksill::wire::PeerKind::kUpdates:
+      envelope.payload = written_again<rooksill::wire::Updates>(envelope.payload);
       break;
-    case net::PeerKind::kRoutes:
-      envelope.payload = written_again<net::Routes>(envelope.payload);
+    case rooksill::wire::PeerKind::kRouting:
+      envelope.payload = written_again<rooksill::wire::RoutingUpdate>(envelope.payload);
       break;
-    case net::PeerKind::kSighting:
-      envelope.payload = written_again<net::Sighting>(envelope.payload);
+    case rooksill::wire::PeerKind::kUnassignedMachine:
+      envelope.payload = written_again<rooksill::wire::UnassignedMachine>(envelope.payload);
       break;
-    case net::PeerKind::kViews:
-      envelope.payload = written_again<net::Views>(envelope.payload);
+    case rooksill::wire::PeerKind::kMachineStatus:
+      envelope.payload = written_again<rooksill::wire::MachineStatusUpdate>(envelope.payload);
       break;
-    case net::PeerKind::kCancelled:
-      envelope.payload = written_again<net::Cancelled>(envelope.payload);
+    case rooksill::wire::PeerKind::kCancelled:
+      envelope.payload = written_again<rooksill::wire::Cancelled>(envelope.payload);
       break;
   }
-  return net::pack(envelope);
+  return rooksill::wire::pack(envelope);
 }
 
 nlohmann::json value_again(const std::string& key, const nlohmann::json& value) {
-  namespace core = rooksill::core;
   const std::string kind = key.substr(0, 5);
   if (kind == "rk/j/") {
-    core::Job job;
-    return core::decode_job(value, job) ? core::encode_job(job) : nlohmann::json();
+    rooksill::model::Job job;
+    return rooksill::wire::decode_job(value, job) ? rooksill::wire::encode_job(job)
+                                                  : nlohmann::json();
   }
   if (kind == "rk/t/") {
-    std::vector<core::TaskState> tasks;
-    return core::decode_chunk(value, value.at("p").size(), tasks) ? core::encode_chunk(tasks)
-                                                                  : nlohmann::json();
+    std::vector<rooksill::model::TaskState> tasks;
+    return rooksill::wire::decode_shard(value, value.at("p").size(), tasks)
+               ? rooksill::wire::encode_shard(tasks)
+               : nlohmann::json();
   }
   if (kind == "rk/l/") {
-    core::BlockLease lease;
-    return core::decode_lease(value, lease) ? core::encode_lease(lease) : nlohmann::json();
+    rooksill::model::PartitionLease lease;
+    return rooksill::wire::decode_lease(value, lease) ? rooksill::wire::encode_lease(lease)
+                                                      : nlohmann::json();
   }
   if (kind == "rk/m/") {
-    std::map<std::string, core::Machine> machines;
-    return core::decode_machines(value, machines) ? core::encode_machines(machines)
-                                                  : nlohmann::json();
+    std::map<std::string, rooksill::model::Machine> machines;
+    return rooksill::wire::decode_machines(value, machines)
+               ? rooksill::wire::encode_machines(machines)
+               : nlohmann::json();
   }
   if (kind == "rk/n/") {
-    core::LifeSign sign;
-    return core::decode_life_sign(value, sign) ? core::encode_life_sign(sign) : nlohmann::json();
+    rooksill::model::LivenessRecord sign;
+    return rooksill::wire::decode_liveness(value, sign) ? rooksill::wire::encode_liveness(sign)
+                                                        : nlohmann::json();
   }
   if (kind == "rk/q/") {
-    std::vector<core::LimitShare> shares;
-    return core::decode_division(value, value.at("c").size(), shares)
-               ? core::encode_division(shares)
+    std::vector<rooksill::model::QuotaShare> shares;
+    return rooksill::wire::decode_quota_division(value, value.at("c").size(), shares)
+               ? rooksill::wire::encode_quota_division(shares)
                : nlohmann::json();
   }
   if (kind == "rk/c/") {
-    core::MachineType type;
-    return core::decode_type(value, type) ? core::encode_type(type) : nlohmann::json();
+    rooksill::model::MachineType type;
+    return rooksill::wire::decode_type(value, type) ? rooksill::wire::encode_type(type)
+                                                    : nlohmann::json();
   }
   return value;  // the leader's keys have no codec of their own
 }
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -1,7 +1,7 @@
 // A scenario in a simulated world. See docs/testing.md for its words.
 #include <memory>
 
-#include "rooksill/core/codec.h"
+#include "rooksill/wire/store_codec.h"
 #include "runner/kinds.h"
 #include "standins/world.h"
 
@@ -368,20 +368,20 @@
       at_most(l, w.most_sessions());
     } else if (what == "peer_bytes_at_most") {
       at_most(l, w.peer_bytes());
-    } else if (what == "even") {  // nobody holds two blocks more than another
+    } else if (what == "even") {  // nobody holds two partitions more than another
       std::map<std::string, int> held;
       for (int b = 0; b < options_.nodes; ++b) held["c" + std::to_string(b)] = 0;
       for (int b = 0; b < options_.nodes; ++b)
-        if (const auto* v = w.state().value(rooksill::core::lease_key(b)))
+        if (const auto* v = w.state().value(rooksill::wire::lease_key(b)))
           ++held[v->at("h").get<std::string>()];
       const auto [least, most] =
           std::minmax_element(held.begin(), held.end(),
                               [](const auto& a, const auto& b) { return a.second < b.second; });
       if (most->second > least->second + 1) fail(l, most->first + " holds too many blocks");
-    } else if (what == "token_at_most") {  // rises with each lease of a block
+    } else if (what == "token_at_most") {  // rises with each lease of a partition
       uint64_t most = 0;
       for (int b = 0; b < options_.nodes; ++b)
-        if (const auto* v = w.state().value(rooksill::core::lease_key(b)))
+        if (const auto* v = w.state().value(rooksill::wire::lease_key(b)))
           most = std::max(most, v->at("t").get<uint64_t>());
       at_most(l, most);
     } else if (what == "upgraded") {
--- a/tests/standins/effects_digest.cc
+++ b/tests/standins/effects_digest.cc
@@ -5,7 +5,7 @@
 namespace standins {
 
 void EffectsDigest::add(double now, std::string_view controller,
-                        const rooksill::core::Effects& effects) {
+                        const rooksill::runtime::Effects& effects) {
   if (effects.calls.empty() && effects.replies.empty() && effects.peer.empty()) return;
   add_number(now);
   add_text(controller);
--- a/tests/standins/effects_digest.h
+++ b/tests/standins/effects_digest.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "rooksill/core/io.h"
+#include "rooksill/runtime/effects.h"
 
 namespace standins {
 
@@ -13,7 +13,7 @@
 // can be shown to be one.
 class EffectsDigest {
  public:
-  void add(double now, std::string_view controller, const rooksill::core::Effects& effects);
+  void add(double now, std::string_view controller, const rooksill::runtime::Effects& effects);
   uint64_t value() const { return hash_; }
 
  private:
--- a/tests/standins/first_version.cc
+++ b/tests/standins/first_version.cc
@@ -75,9 +75,9 @@
   if (payload.type != msgpack::type::ARRAY || payload.via.array.size != length->second)
     return "length of a message of kind " + std::to_string(kind);
   if (kind != kViewsKind) return "";
-  const auto& views = payload.via.array.ptr[0].via.array;
-  for (uint32_t i = 0; i < views.size; ++i)
-    if (views.ptr[i].via.array.size != kViewFields) return "length of a machine's view";
+  const auto& statuses = payload.via.array.ptr[0].via.array;
+  for (uint32_t i = 0; i < statuses.size; ++i)
+    if (statuses.ptr[i].via.array.size != kViewFields) return "length of a machine's view";
   return "";
 }
 
--- a/tests/standins/state_service.cc
+++ b/tests/standins/state_service.cc
@@ -36,7 +36,7 @@
 
 void StateService::erase(const std::string& key) {
   if (items_.erase(key) == 0) return;
-  events_.push_back({epoch_, key, false, {}});
+  events_.push_back({revision_, key, false, {}});
 }
 
 void StateService::tick(double now) {
@@ -46,7 +46,7 @@
     if (now >= l.ends) ended.push_back(id);
   for (uint64_t id : ended) {
     leases_.erase(id);
-    ++epoch_;
+    ++revision_;
     std::vector<std::string> keys;
     for (const auto& [k, item] : items_)
       if (item.lease == id) keys.push_back(k);
@@ -57,19 +57,19 @@
 
 bool StateService::has_news(const std::string& prefix, uint64_t from) const {
   return std::any_of(events_.rbegin(), events_.rend(),
-                     [&](const Event& e) { return e.stamp > from && starts(e.key, prefix); });
+                     [&](const Event& e) { return e.revision > from && starts(e.key, prefix); });
 }
 
 std::string StateService::news(const std::string& prefix, uint64_t from) const {
   json list = json::array();
   for (const auto& e : events_) {
-    if (e.stamp <= from || !starts(e.key, prefix)) continue;
+    if (e.revision <= from || !starts(e.key, prefix)) continue;
     if (e.put)
-      list.push_back({{"put", e.key}, {"v", e.value}, {"stamp", e.stamp}});
+      list.push_back({{"put", e.key}, {"v", e.value}, {"stamp", e.revision}});
     else
-      list.push_back({{"delete", e.key}, {"stamp", e.stamp}});
+      list.push_back({{"delete", e.key}, {"stamp", e.revision}});
   }
-  return json{{"epoch", epoch_}, {"news", list}}.dump();
+  return json{{"epoch", revision_}, {"news", list}}.dump();
 }
 
 void StateService::serve_watches(double now) {
@@ -122,9 +122,9 @@
   }
   if (method == "GET" && starts(path, "/store/")) {
     auto it = items_.find(path.substr(7));
-    if (it == items_.end()) return {404, json{{"epoch", epoch_}}.dump()};
+    if (it == items_.end()) return {404, json{{"epoch", revision_}}.dump()};
     return {200,
-            json{{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.stamp}}.dump()};
+            json{{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.revision}}.dump()};
   }
   if (method == "GET" && starts(path, "/store?")) {
     json items = json::array();
@@ -136,9 +136,9 @@
         more = true;
         break;
       }
-      items.push_back({{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.stamp}});
+      items.push_back({{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.revision}});
     }
-    return {200, json{{"items", items}, {"truncated", more}, {"epoch", epoch_}}.dump()};
+    return {200, json{{"items", items}, {"truncated", more}, {"epoch", revision_}}.dump()};
   }
   if (method == "POST" && path == "/grants") {
     json j = json::parse(body);
@@ -182,12 +182,12 @@
   json failed = json::array();
   for (const auto& x : g) {
     auto it = items_.find(x["k"].get<std::string>());
-    const uint64_t stamp = it == items_.end() ? 0 : it->second.stamp;
-    if (stamp != x["stamp"].get<uint64_t>()) failed.push_back(x["k"]);
+    const uint64_t revision = it == items_.end() ? 0 : it->second.revision;
+    if (revision != x["stamp"].get<uint64_t>()) failed.push_back(x["k"]);
   }
-  if (!failed.empty()) return {409, json{{"failed", failed}, {"epoch", epoch_}}.dump()};
-  if (w.empty()) return {200, json{{"epoch", epoch_}}.dump()};
-  ++epoch_;
+  if (!failed.empty()) return {409, json{{"failed", failed}, {"epoch", revision_}}.dump()};
+  if (w.empty()) return {200, json{{"epoch", revision_}}.dump()};
+  ++revision_;
   for (const auto& x : w) {
     ++writes;
     if (x.contains("delete")) {
@@ -201,10 +201,10 @@
       if (auto unknown = unknown_to_first_version(key, x["v"]); !unknown.empty())
         broken.push_back("unknown to the first version: " + unknown);
     if (key.size() > 200 || key.find(' ') != std::string::npos) broken.push_back("bad key " + key);
-    items_[key] = {x["v"], epoch_, x.contains("hold") ? x["hold"].get<uint64_t>() : 0};
-    events_.push_back({epoch_, key, true, x["v"]});
+    items_[key] = {x["v"], revision_, x.contains("hold") ? x["hold"].get<uint64_t>() : 0};
+    events_.push_back({revision_, key, true, x["v"]});
   }
-  return {200, json{{"epoch", epoch_}}.dump()};
+  return {200, json{{"epoch", revision_}}.dump()};
 }
 
 }  // namespace standins
--- a/tests/standins/state_service.h
+++ b/tests/standins/state_service.h
@@ -1,4 +1,4 @@
-// Stand-in for the state service, written from the protocol.
+// Stand-in for the store, written from the protocol.
 #pragma once
 
 #include <functional>
@@ -42,13 +42,13 @@
  private:
   struct Item {
     nlohmann::json value;
-    uint64_t stamp = 0, lease = 0;
+    uint64_t revision = 0, lease = 0;
   };
   struct Lease {
     double ttl = 0, ends = 0;
   };
   struct Event {
-    uint64_t stamp;
+    uint64_t revision;
     std::string key;
     bool put;
     nlohmann::json value;
@@ -71,7 +71,7 @@
   size_t value_bytes_, txn_ops_;
   double tokens_ = 0, write_tokens_ = 0, last_ = -1;
   bool outage_ = false;
-  uint64_t epoch_ = 1, next_lease_ = 1;
+  uint64_t revision_ = 1, next_lease_ = 1;
   std::map<std::string, Item> items_;
   std::map<uint64_t, Lease> leases_;
   std::vector<Event> events_;
