--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -68,14 +68,14 @@
       hooks_.ended(*this, t.key);
     }
   tasks_.clear();
-  ++session;
+  ++agent_epoch;
   leased_from_ = now;
   changed_ = true;
 }
 
 void Worker::fetched(Task& t, const JobTruth& job) {
   images_.insert(job.image);
-  t.phase = job.gang ? Task::kGathering : Task::kRunning;
+  t.phase = job.gang ? Task::kWaitingForGang : Task::kRunning;
   t.since = now_;
   t.progress = hooks_.saved(t.key);
   changed_ = true;
@@ -91,7 +91,7 @@
 
 void Worker::advance_gang_task(Task& t, const JobTruth& job) {
   GangAttempt& gang = hooks_.gang(t.key, t.attempt);
-  if (t.phase == Task::kGathering) {
+  if (t.phase == Task::kWaitingForGang) {
     if (gang.started >= 0) {
       t.phase = Task::kRunning;
       changed_ = true;
@@ -99,7 +99,7 @@
       return exit(t, "alone");
     }
   }
-  if (t.phase == Task::kGathering) return;
+  if (t.phase == Task::kWaitingForGang) return;
   const bool saving = t.phase == Task::kSaving;
   if (saving && now_ - t.since >= job.save_s &&
       (gang.saved ||
@@ -173,9 +173,9 @@
   return now >= next_report || changed_;
 }
 
-std::string Worker::make_report(double now, bool beat) {
+std::string Worker::make_report(double now, bool heartbeat) {
   ++seq_;
-  if (beat) {
+  if (heartbeat) {
     in_flight = true;
     changed_ = false;
     next_allowed = now + 0.5;
@@ -183,11 +183,11 @@
   }
   json pieces = json::array();
   for (const auto& t : tasks_) {
-    const char* phase = t.phase == Task::kFetching    ? "pulling"
-                        : t.phase == Task::kGathering ? "gathering"
-                        : t.phase == Task::kRunning   ? "running"
-                        : t.phase == Task::kSaving    ? "saving"
-                                                      : "exited";
+    const char* phase = t.phase == Task::kFetching         ? "pulling"
+                        : t.phase == Task::kWaitingForGang ? "gathering"
+                        : t.phase == Task::kRunning        ? "running"
+                        : t.phase == Task::kSaving         ? "saving"
+                                                           : "exited";
     json p{{"piece", t.key.job + "/" + std::to_string(t.key.index)},
            {"try", t.attempt},
            {"status", phase}};
@@ -195,16 +195,16 @@
     if (t.saved) p["saved"] = true;
     pieces.push_back(p);
   }
-  json r{{"perch", name},        {"address", address}, {"build", type}, {"ward", zone},
-         {"loaners", spot},      {"tenure", session},  {"tally", seq_}, {"baton", token},
+  json r{{"perch", name},        {"address", address},    {"build", type}, {"ward", zone},
+         {"loaners", spot},      {"tenure", agent_epoch}, {"tally", seq_}, {"baton", fencing_token},
          {"warning_s", nullptr}, {"pieces", pieces}};
   if (taken_at) r["warning_s"] = std::max(0.0, *taken_at - now);
   return r.dump();
 }
 
 void Worker::see_token(uint64_t t) {
-  if (t <= token) return;
-  token = t;
+  if (t <= fencing_token) return;
+  fencing_token = t;
   if (now_ - last_token_change_ >= times_.lease_s / 2) {
     changed_ = true;
     last_token_change_ = now_;
@@ -212,14 +212,14 @@
 }
 
 void Worker::on_answer(double now, int status, const std::string& body, double sent,
-                       uint64_t of_session) {
+                       uint64_t of_agent_epoch) {
   in_flight = false;
   if (dead) return;
   json j = json::parse(body, nullptr, false);
   if (status == 200 && j.is_object()) {
-    if (of_session != session) return;
+    if (of_agent_epoch != agent_epoch) return;
     const uint64_t t = j.value("baton", uint64_t{0});
-    if (t < token) return;  // dropped: neither executed nor renewing
+    if (t < fencing_token) return;  // dropped: neither executed nor renewing
     see_token(t);
     leased_from_ = sent;
     execute(now, j["orders"]);
@@ -245,15 +245,15 @@
   json j = json::parse(body, nullptr, false);
   if (!j.is_object() || !j.contains("baton") || !j.contains("tenure")) return {400, "{}"};
   const uint64_t t = j["baton"];
-  if (t < token) return {409, make_report(now, false)};
+  if (t < fencing_token) return {409, make_report(now, false)};
   see_token(t);
-  if (j["tenure"].get<uint64_t>() != session) return {409, make_report(now, false)};
+  if (j["tenure"].get<uint64_t>() != agent_epoch) return {409, make_report(now, false)};
   execute(now, j["orders"]);
   return {200, make_report(now, false)};
 }
 
-void Worker::execute(double now, const json& orders) {
-  for (const auto& o : orders) {
+void Worker::execute(double now, const json& commands) {
+  for (const auto& o : commands) {
     const auto full = o["piece"].get<std::string>();
     const auto slash = full.rfind('/');
     const TaskKey key{full.substr(0, slash), std::stoi(full.substr(slash + 1))};
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -59,8 +59,9 @@
 
   void advance(double now);  // tasks go on, the lease may end
   bool wants_to_report(double now) const;
-  std::string make_report(double now, bool beat);
-  void on_answer(double now, int status, const std::string& body, double sent, uint64_t session);
+  std::string make_report(double now, bool heartbeat);
+  void on_answer(double now, int status, const std::string& body, double sent,
+                 uint64_t agent_epoch);
   Answer handle(double now, const std::string& method, const std::string& path,
                 const std::string& body);
   void kill();  // the machine is gone
@@ -73,7 +74,7 @@
   bool dead = false, hanging = false, faulty = false;
   std::optional<double> taken_at;
   double next_report = 0, next_allowed = 0;
-  uint64_t session = 1, token = 0;
+  uint64_t agent_epoch = 1, fencing_token = 0;
   double free_cpus() const;
   double free_memory() const;
   double booted_at() const { return leased_at_first_; }
@@ -82,12 +83,12 @@
   struct Task {
     TaskKey key;
     uint64_t attempt = 0;
-    enum { kFetching, kGathering, kRunning, kSaving, kExited } phase = kFetching;
+    enum { kFetching, kWaitingForGang, kRunning, kSaving, kExited } phase = kFetching;
     std::string cause;
     bool saved = false;
     double since = 0, progress = 0;
   };
-  void execute(double now, const nlohmann::json& orders);
+  void execute(double now, const nlohmann::json& commands);
   static bool is_on(const Task& t) {
     return t.phase != Task::kFetching && t.phase != Task::kExited;
   }
--- a/tests/standins/world.cc
+++ b/tests/standins/world.cc
@@ -4,13 +4,12 @@
 #include <cmath>
 #include <iostream>
 
-#include "rooksill/net/peer_codec.h"
+#include "rooksill/wire/controller_messages.h"
 #include "standins/first_version.h"
 
 namespace standins {
 
 using nlohmann::json;
-namespace core = rooksill::core;
 
 World::World(const WorldOptions& o)
     : options_(o),
@@ -74,12 +73,12 @@
   n.queue.clear();
   n.scheduled = false;
   started_settings_[node] = settings_of(node);
-  n.core =
-      std::make_unique<core::Core>(started_settings_[node], rng_(), 1.7e9 + now_, options_.verbose);
-  deliver(node, core::Tick{});
+  n.core = std::make_unique<rooksill::controller::Controller>(started_settings_[node], rng_(),
+                                                              1.7e9 + now_, options_.verbose);
+  deliver(node, rooksill::runtime::Tick{});
 }
 
-// The version before upgrade records does not read which limits the state service will have.
+// The version before upgrade records does not read which limits the store will have.
 rooksill::Settings World::settings_of(int node) const {
   rooksill::Settings s = settings_[static_cast<size_t>(node)];
   if (!nodes_[static_cast<size_t>(node)].first_version) return s;
@@ -133,7 +132,7 @@
 
 double World::latency() { return std::uniform_real_distribution<double>(0.0005, 0.004)(rng_); }
 
-void World::deliver(int node, core::Command c) {
+void World::deliver(int node, rooksill::runtime::Command c) {
   Node& n = nodes_[static_cast<size_t>(node)];
   if (!n.core) return;
   n.queue.push_back(std::move(c));
@@ -150,22 +149,24 @@
     return;
   }
   n.scheduled = false;
-  std::vector<core::Command> batch;
+  std::vector<rooksill::runtime::Command> batch;
   batch.swap(n.queue);
   n.core->run(batch, {now_ + 100.0 * node, 1.7e9 + now_ + 0.03 * node});
   perform(node);
-  const bool ticked = std::any_of(batch.begin(), batch.end(), [](const core::Command& c) {
-    return std::holds_alternative<core::Tick>(c);
-  });
+  const bool ticked =
+      std::any_of(batch.begin(), batch.end(), [](const rooksill::runtime::Command& c) {
+        return std::holds_alternative<rooksill::runtime::Tick>(c);
+      });
   if (ticked)
-    at(now_ + core::Core::kTick, [this, node, generation] {
-      if (nodes_[static_cast<size_t>(node)].generation == generation) deliver(node, core::Tick{});
+    at(now_ + rooksill::controller::Controller::kTick, [this, node, generation] {
+      if (nodes_[static_cast<size_t>(node)].generation == generation)
+        deliver(node, rooksill::runtime::Tick{});
     });
 }
 
 void World::perform(int node) {
   Node& n = nodes_[static_cast<size_t>(node)];
-  core::Effects out = std::move(n.core->effects());
+  rooksill::runtime::Effects out = std::move(n.core->effects());
   n.core->effects().clear();
   effects_digest_.add(now_, n.label, out);
   if (options_.verbose)
@@ -182,7 +183,7 @@
   for (const auto& c : out.calls) call(node, c);
 }
 
-void World::send_to_peer(int node, const core::PeerSend& p) {
+void World::send_to_peer(int node, const rooksill::runtime::PeerSend& p) {
   peer_bytes_ += p.bytes.size();
   check_forms(nodes_[static_cast<size_t>(node)], p.bytes);
   const int to = std::stoi(p.label.substr(1));
@@ -195,10 +196,10 @@
     when = std::max(until, until2) + latency();
   }
   at(when, [this, to, bytes = p.bytes] {
-    rooksill::net::Envelope envelope;
-    const bool taken = rooksill::net::unpack(bytes, envelope) && envelope.version == 1;
+    rooksill::wire::Envelope envelope;
+    const bool taken = rooksill::wire::unpack(bytes, envelope) && envelope.version == 1;
     if (taken || !nodes_[static_cast<size_t>(to)].first_version)
-      deliver(to, core::PeerMessage{bytes});
+      deliver(to, rooksill::runtime::PeerMessage{bytes});
   });
 }
 
@@ -219,7 +220,7 @@
   return island_.until > now_ && island_.node == node && island_.zone == m.worker->zone;
 }
 
-void World::call(int node, const core::Call& c) {
+void World::call(int node, const rooksill::runtime::Call& c) {
   Node& n = nodes_[static_cast<size_t>(node)];
   const uint64_t generation = n.generation;
   auto answered = std::make_shared<bool>(false);
@@ -228,18 +229,18 @@
     if (*answered) return;
     *answered = true;
     if (nodes_[static_cast<size_t>(node)].generation != generation) return;
-    deliver(node, core::CallDone{id, status, std::move(body), refused});
+    deliver(node, rooksill::runtime::CallDone{id, status, std::move(body), refused});
   };
   at(now_ + c.timeout_s, [finish] { finish(0, "", false); });
 
-  const std::string side = c.target == core::Target::kState   ? "state"
-                           : c.target == core::Target::kCloud ? "cloud"
-                                                              : "workers";
+  const std::string side = c.target == rooksill::runtime::Target::kState   ? "state"
+                           : c.target == rooksill::runtime::Target::kCloud ? "cloud"
+                                                                           : "workers";
   double until = 0;
   bool hold = false;
   double when = now_ + latency();
   Machine* machine = nullptr;
-  if (c.target == core::Target::kWorker) {
+  if (c.target == rooksill::runtime::Target::kWorker) {
     auto it = machines_.find(c.address.substr(0, c.address.find(':')));
     if (it == machines_.end() || it->second.worker->dead) return;  // silent
     machine = &it->second;
@@ -255,14 +256,14 @@
   }
   std::uniform_real_distribution<double> chance(0, 1);
   bool lost = chance(rng_) < lose_chance_;
-  if (c.target == core::Target::kState) {
+  if (c.target == rooksill::runtime::Target::kState) {
     if (slow_s_ > 0) when += slow_s_ * chance(rng_);
     if (late_write_chance_ > 0 && c.path == "/txn" && chance(rng_) < late_write_chance_) {
       lost = true;
       when += 1 + (late_write_s_ - 1) * chance(rng_);
     }
   }
-  if (c.target != core::Target::kCloud && chance(rng_) < late_chance_)
+  if (c.target != rooksill::runtime::Target::kCloud && chance(rng_) < late_chance_)
     when += late_s_ * chance(rng_);
   if (late_command_chance_ > 0 && c.path == "/commands" && chance(rng_) < late_command_chance_)
     when += late_command_s_ * chance(rng_);
@@ -273,14 +274,14 @@
       at(now_ + latency(), [finish, a] { finish(a.status, a.body, false); });
     };
     switch (c.target) {
-      case core::Target::kState:
+      case rooksill::runtime::Target::kState:
         if (nodes_[static_cast<size_t>(node)].refused) return back({503, "{}"});
         if (nodes_[static_cast<size_t>(node)].first_version)
           return ask_state_as_first_version(c, back);
         return state_.handle(now_, c.method, c.path, c.body, back);
-      case core::Target::kCloud:
+      case rooksill::runtime::Target::kCloud:
         return back(cloud_.handle(now_, c.method, c.path, c.body));
-      case core::Target::kWorker: {
+      case rooksill::runtime::Target::kWorker: {
         auto it = machines_.find(name);
         if (it == machines_.end() || it->second.worker->dead) return;
         if (it->second.worker->hanging) {
@@ -294,7 +295,7 @@
 }
 
 // A controller of the version before writes no record of its version, and sees none.
-void World::ask_state_as_first_version(const core::Call& c,
+void World::ask_state_as_first_version(const rooksill::runtime::Call& c,
                                        const std::function<void(const Answer&)>& back) {
   if (c.path == "/txn") {
     const json body = json::parse(c.body);
@@ -320,7 +321,7 @@
 }
 
 // Executed when the machine continues, long after the sender gave up.
-void World::deliver_after_hang(const core::Call& c, const std::string& name) {
+void World::deliver_after_hang(const rooksill::runtime::Call& c, const std::string& name) {
   at(now_ + 0.1, [this, c, name] {
     auto m = machines_.find(name);
     if (m == machines_.end() || m->second.worker->dead) return;
@@ -350,10 +351,10 @@
     Node& x = nodes_[static_cast<size_t>(node)];
     if (x.generation != generation || !x.core) return finish(0, "", 0);
     const uint64_t id = x.next_request++;
-    x.pending[id] = [this, finish](const core::Reply& r) {
+    x.pending[id] = [this, finish](const rooksill::runtime::Reply& r) {
       at(now_ + latency(), [finish, r] { finish(r.status, r.body, r.retry_after_s); });
     };
-    deliver(node, core::Request{id, method, target, body});
+    deliver(node, rooksill::runtime::Request{id, method, target, body});
   });
 }
 
@@ -468,12 +469,12 @@
   Worker& w = *m.worker;
   const std::string body = w.make_report(now_, true);
   const double sent = now_;
-  const uint64_t session = w.session;
+  const uint64_t agent_epoch = w.agent_epoch;
   const int node = w.at;
   const std::string name = w.name;
-  auto heard = [this, name, sent, session](int status, const std::string& text) {
+  auto heard = [this, name, sent, agent_epoch](int status, const std::string& text) {
     auto it = machines_.find(name);
-    if (it != machines_.end()) it->second.worker->on_answer(now_, status, text, sent, session);
+    if (it != machines_.end()) it->second.worker->on_answer(now_, status, text, sent, agent_epoch);
   };
   std::uniform_real_distribution<double> chance(0, 1);
   if (chance(rng_) < copy_chance_)
@@ -608,11 +609,11 @@
   n.scheduled = false;
   auto pending = std::move(n.pending);
   n.pending.clear();
-  core::Reply none;
+  rooksill::runtime::Reply none;
   none.status = 0;
   for (auto& [id, f] : pending) f(none);
   for (int k = 0; k < options_.nodes; ++k)
-    if (k != node) deliver(k, core::PeerLost{n.label});
+    if (k != node) deliver(k, rooksill::runtime::PeerLost{n.label});
   at(now_ + down_s, [this, node, g = n.generation] {
     if (nodes_[static_cast<size_t>(node)].generation == g) boot(node);
   });
@@ -714,12 +715,12 @@
   strike(count, [](Machine& m) { return !std::exchange(m.worker->faulty, true); });
 }
 
-void World::take_spot(double share, double notice_s) {
+void World::take_spot(double share, double termination_notice_s) {
   std::uniform_real_distribution<double> chance(0, 1);
   for (auto& [name, m] : machines_) {
     if (m.worker->dead || !m.worker->spot || chance(rng_) > share) continue;
-    if (notice_s > 0)
-      m.worker->taken_at = now_ + notice_s;
+    if (termination_notice_s > 0)
+      m.worker->taken_at = now_ + termination_notice_s;
     else
       cloud_.take(name);
   }
@@ -986,7 +987,7 @@
 uint64_t World::most_sessions() const {
   uint64_t most = 0;
   for (const auto& [name, m] : machines_)
-    if (!m.worker->dead) most = std::max(most, m.worker->session);
+    if (!m.worker->dead) most = std::max(most, m.worker->agent_epoch);
   return most;
 }
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/core/core.h"
+#include "rooksill/controller/controller.h"
 #include "rooksill/settings/settings.h"
 #include "standins/cloud.h"
 #include "standins/effects_digest.h"
@@ -25,7 +25,7 @@
   double gang_wait_s = 12, gang_peer_s = 2;
   double state_rps = 300, write_rps = 90;
   size_t txn_ops = 32, value_bytes = 8192;
-  // The state service's limits once it lowers them; 0: it does not.
+  // The store's limits once it lowers them; 0: it does not.
   double next_write_rps = 0;
   size_t next_txn_ops = 0, next_value_bytes = 0;
   double cloud_rps = 5, list_lag_s = 3;
@@ -79,7 +79,7 @@
   void late_copies(double chance, double late_s, double for_s);
   void machine_hang(int count, double for_s);
   void machine_fault(int count);
-  void take_spot(double share, double notice_s);
+  void take_spot(double share, double termination_notice_s);
   void lose_answers(double chance, double for_s);
   void late_requests(double chance, double late_s, double for_s);
   // Transactions get no answer and are carried out later, after newer ones.
@@ -93,7 +93,7 @@
   void cancel_now(int count, double hang_s);
   void cancel_at_end(double chance, double for_s);  // at the moment that a job's last task ends
   void odd_requests(double for_s);
-  // The state service lowers its limits to those announced.
+  // The store lowers its limits to those announced.
   void lower_limits();
   // Ends and comes back with the present version; or with the one before.
   void upgrade(int node, double down_s);
@@ -125,15 +125,15 @@
  private:
   struct Node {
     std::string label;
-    std::unique_ptr<rooksill::core::Core> core;
-    std::vector<rooksill::core::Command> queue;
+    std::unique_ptr<rooksill::controller::Controller> core;
+    std::vector<rooksill::runtime::Command> queue;
     uint64_t generation = 0;
     bool scheduled = false;
     bool refused = false;
     bool first_version = false;
     double frozen_until = 0;
     std::map<std::string, std::pair<double, bool>> cuts;  // side -> until, hold
-    std::map<uint64_t, std::function<void(const rooksill::core::Reply&)>> pending;
+    std::map<uint64_t, std::function<void(const rooksill::runtime::Reply&)>> pending;
     uint64_t next_request = 1;
   };
   struct Island {
@@ -148,16 +148,16 @@
   };
 
   void boot(int node);
-  void deliver(int node, rooksill::core::Command c);
+  void deliver(int node, rooksill::runtime::Command c);
   void process(int node, uint64_t generation);
   void perform(int node);
-  void send_to_peer(int node, const rooksill::core::PeerSend& message);
+  void send_to_peer(int node, const rooksill::runtime::PeerSend& message);
   rooksill::Settings settings_of(int node) const;
   void check_forms(const Node& from, const std::string& message);
-  void call(int node, const rooksill::core::Call& c);
-  void ask_state_as_first_version(const rooksill::core::Call& c,
+  void call(int node, const rooksill::runtime::Call& c);
+  void ask_state_as_first_version(const rooksill::runtime::Call& c,
                                   const std::function<void(const Answer&)>& back);
-  void deliver_after_hang(const rooksill::core::Call& c, const std::string& name);
+  void deliver_after_hang(const rooksill::runtime::Call& c, const std::string& name);
   void ask(int node, const std::string& method, const std::string& target, const std::string& body,
            double timeout_s,
            std::function<void(int status, const std::string& body, double retry)> f);
