--- a/src/main.cc
+++ b/src/main.cc
@@ -5,6 +5,7 @@
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
+#include <string>
 
 #include "rooksill/controller/process.h"
 #include "rooksill/settings/settings.h"
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -1,8 +1,11 @@
 #include "rooksill/api/user_requests.h"
 
 #include <algorithm>
+#include <set>
 
 #include "rooksill/membership/upgrade.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
 #include "rooksill/wire/store_codec.h"
 #include "rooksill/wire/user_codec.h"
 
@@ -58,13 +61,17 @@
     if (s.tasks > replica_.tasks_per_shard()) return "more tasks than can be started at once";
   }
   const auto& limit = team->second;
-  if (limit.cpus_max > 0 && s.cpus * count > limit.cpus_max) return "more than the team's limit";
-  if (limit.gpus_max > 0 && s.gpus * count > limit.gpus_max) return "more than the team's limit";
+  if (limit.cpus_max > 0 && s.request.cpus * count > limit.cpus_max)
+    return "more than the team's limit";
+  if (limit.gpus_max > 0 && s.request.gpus * count > limit.gpus_max)
+    return "more than the team's limit";
   for (const auto& [name, t] : replica_.types) {
     if (!s.allows_type(name)) continue;
     if (!s.zone.empty() && std::find(t.zones.begin(), t.zones.end(), s.zone) == t.zones.end())
       continue;
-    if (s.cpus <= t.cpus && s.gpus <= t.gpus && s.memory_gb <= t.memory_gb) return "";
+    if (s.request.cpus <= t.capacity.cpus && s.request.gpus <= t.capacity.gpus &&
+        s.request.memory_gb <= t.capacity.memory_gb)
+      return "";
   }
   return "a task fits no allowed machine type";
 }
@@ -127,7 +134,7 @@
     auto value = wire::encode_job(c.job);
     bytes += value.dump().size() + 200;
     if (bytes > size_t{48} * 1024 && i > 0) break;
-    preconditions.push_back({wire::job_key(c.job.spec.id), 0});
+    preconditions.push_back({wire::job_key(c.job.spec.id), model::kNoRevision});
     writes.push_back({wire::job_key(c.job.spec.id), std::move(value), 0});
     group.push_back(c);
   }
--- a/src/rooksill/api/user_requests.h
+++ b/src/rooksill/api/user_requests.h
@@ -1,8 +1,14 @@
 // Users' requests: submissions, polls, cancellations.
 #pragma once
 
+#include <cstdint>
 #include <deque>
+#include <functional>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "rooksill/model/job.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
 #include "rooksill/store/replica.h"
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -1,6 +1,12 @@
 #include "rooksill/controller/controller.h"
 
 #include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 
 namespace rooksill::controller {
 
@@ -239,12 +245,13 @@
         v.up = v.up || !load.tasks.empty() || ctx_.now.wall - m.rented > 2 * t.boot_s;
         v.draining = false;  // its owner cannot be told, nor say that it is empty
         v.silent = std::find(silent.begin(), silent.end(), name) != silent.end();
-        v.cpus_free = v.up && !v.silent ? t.cpus - load.cpus : 0;
-        v.gpus_free = t.gpus - load.gpus;
-        v.memory_free = t.memory_gb - load.memory;
+        v.cpus_free = v.up && !v.silent ? t.capacity.cpus - load.used.cpus : 0;
+        v.gpus_free = t.capacity.gpus - load.used.gpus;
+        v.memory_free = t.capacity.memory_gb - load.used.memory_gb;
         v.tasks = static_cast<uint32_t>(load.tasks.size());
-        v.load = std::max(t.cpus > 0 ? load.cpus / t.cpus : 0,
-                          t.memory_gb > 0 ? load.memory / t.memory_gb : 0);
+        v.load =
+            std::max(t.capacity.cpus > 0 ? load.used.cpus / t.capacity.cpus : 0,
+                     t.capacity.memory_gb > 0 ? load.used.memory_gb / t.capacity.memory_gb : 0);
       }
   }
 }
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -1,12 +1,18 @@
 // The deterministic core of a controller: commands and the time in, effects out. No I/O.
 #pragma once
 
+#include <cstdint>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
 #include "rooksill/api/user_requests.h"
 #include "rooksill/fleet/fleet.h"
 #include "rooksill/leader/leader.h"
 #include "rooksill/membership/cancellations.h"
 #include "rooksill/membership/peers.h"
 #include "rooksill/membership/upgrade.h"
+#include "rooksill/model/coordination.h"
 #include "rooksill/partition/partition_owner.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/client.h"
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -4,9 +4,14 @@
 #include <spdlog/spdlog.h>
 
 #include <chrono>
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <memory>
 #include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "rooksill/controller/controller.h"
 #include "rooksill/net/http_client.h"
--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -2,9 +2,19 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
+#include <iterator>
 #include <limits>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "rooksill/membership/upgrade.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/value_sizes.h"
 #include "rooksill/policy/sizing.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
@@ -38,9 +48,9 @@
 
 double Fleet::share(const model::JobSpec& s, const model::MachineType& t) const {
   double out = 0;
-  if (t.cpus > 0) out = std::max(out, s.cpus / t.cpus);
-  if (t.memory_gb > 0) out = std::max(out, s.memory_gb / t.memory_gb);
-  if (t.gpus > 0) out = std::max(out, s.gpus / t.gpus);
+  if (t.capacity.cpus > 0) out = std::max(out, s.request.cpus / t.capacity.cpus);
+  if (t.capacity.memory_gb > 0) out = std::max(out, s.request.memory_gb / t.capacity.memory_gb);
+  if (t.capacity.gpus > 0) out = std::max(out, s.request.gpus / t.capacity.gpus);
   return out;
 }
 
@@ -73,9 +83,9 @@
     auto type = replica_.types.find(m.type);
     if (load.tasks.empty() || type == replica_.types.end()) continue;
     model::JobSpec all;
-    all.cpus = load.cpus;
-    all.gpus = load.gpus;
-    all.memory_gb = load.memory;
+    all.request.cpus = load.used.cpus;
+    all.request.gpus = load.used.gpus;
+    all.request.memory_gb = load.used.memory_gb;
     busy[{m.type, m.spot}] += share(all, type->second);
   }
   for (const auto& [pool, machines] : busy) demand_[pool].busy(machines, passed);
@@ -422,7 +432,7 @@
   const bool known = static_cast<size_t>(page) < pages.size();
   std::vector<store::Precondition> preconditions{
       {wire::kLeaderKey, replica_.leader.revision},
-      {keys[0], known ? pages[static_cast<size_t>(page)].revision : 0}};
+      {keys[0], known ? pages[static_cast<size_t>(page)].revision : model::kNoRevision}};
   std::vector<store::Write> writes;
   // The new pages come first: who applies the changes in order misses no machine in between.
   const size_t most = replica_.machines_per_page();
@@ -434,7 +444,7 @@
     while (writing_.count({b, fresh}) != 0) ++fresh;
     written.emplace_back(b, fresh);
     keys.push_back(wire::machines_key(b, fresh++));
-    preconditions.push_back({keys.back(), 0});
+    preconditions.push_back({keys.back(), model::kNoRevision});
     writes.push_back({keys.back(), wire::encode_machines(moved), 0});
   }
   if (written.size() > 1)
@@ -529,22 +539,22 @@
         const model::JobSpec& s = replica_.job(ref.job)->spec;
         if (s.shape != model::Shape::kService) continue;
         double& most = largest[m.zone];
-        most = std::max(most, s.cpus);
+        most = std::max(most, s.request.cpus);
       }
     if (drain_.count(name) != 0 || leaving(name)) continue;
     auto v = statuses.find(name);
     auto type = replica_.types.find(m.type);
     if (v == statuses.end() || type == replica_.types.end() || v->second.silent || v->second.bad)
       continue;
-    const double room = type->second.cpus - load.replica_cpus;
+    const double room = type->second.capacity.cpus - load.replica_cpus;
     zones_[m.zone].room += room;
     all.room += room;
   }
   for (const auto& [name, h] : rentals_) {
     auto type = replica_.types.find(h.offer.pool.type);
     if (h.offer.pool.spot || type == replica_.types.end()) continue;
-    zones_[h.offer.zone].room += h.count * type->second.cpus;
-    all.room += h.count * type->second.cpus;
+    zones_[h.offer.zone].room += h.count * type->second.capacity.cpus;
+    all.room += h.count * type->second.capacity.cpus;
   }
   // Machines are lost by the dozen where there are hundreds, and a spread job's replicas have to
   // come back in the zone that they were lost from.
@@ -559,7 +569,7 @@
   // The machine's own room goes, and its replicas take room elsewhere: all of its cores.
   for (const auto& zone : {m.zone, std::string()}) {
     const Zone& z = zones_.at(zone);
-    if (z.room - type->second.cpus < z.floor) return false;
+    if (z.room - type->second.capacity.cpus < z.floor) return false;
   }
   return true;
 }
@@ -587,11 +597,12 @@
         offer.pool.type = name;
         offer.zone = in;
         // In one zone the smallest price will do; for all of them it is the room that counts.
-        const double price = zone.empty() && t.cpus > 0 ? t.price / t.cpus : t.price;
+        const double price =
+            zone.empty() && t.capacity.cpus > 0 ? t.price / t.capacity.cpus : t.price;
         if ((!zone.empty() && in != zone) || !open(offer) || price >= best_price) continue;
         best_price = price;
         best = offer;
-        size = t.cpus;
+        size = t.capacity.cpus;
       }
     if (best.zone.empty() || size <= 0) continue;
     const int count = std::max(1, static_cast<int>((z.floor - z.room) / size));
@@ -678,8 +689,8 @@
       if (left == 0) break;
       if (!pool.spot) {
         if (!zone_can_spare(*machine)) continue;
-        zones_[machine->zone].room -= type.cpus;
-        zones_[""].room -= type.cpus;
+        zones_[machine->zone].room -= type.capacity.cpus;
+        zones_[""].room -= type.capacity.cpus;
       }
       drain_.insert(machine->name);
       --left;
@@ -698,8 +709,8 @@
     --zones[from.zone];
   }
   for (const auto& [target, v] : statuses) {
-    if (!v.up || v.draining || s.cpus > v.cpus_free || s.memory_gb > v.memory_free ||
-        s.gpus > v.gpus_free)
+    if (!v.up || v.draining || s.request.cpus > v.cpus_free ||
+        s.request.memory_gb > v.memory_free || s.request.gpus > v.gpus_free)
       continue;
     const model::Machine* to = replica_.machine(target);
     if (to == nullptr || target == from.name || drain_.count(target) != 0) continue;
@@ -746,7 +757,8 @@
 std::vector<Fleet::Space> Fleet::spaces(const wire::MachineStatusMap& statuses) const {
   std::vector<Space> out;
   auto whole = [&](const model::MachineType& t, const std::string& zone, bool spot, int partition) {
-    out.push_back({&t, zone, spot, t.cpus, t.gpus, t.memory_gb, partition});
+    out.push_back(
+        {&t, zone, spot, t.capacity.cpus, t.capacity.gpus, t.capacity.memory_gb, partition});
   };
   for (const auto& [name, m] : replica_.machines) {
     auto type = replica_.types.find(m.type);
@@ -791,7 +803,7 @@
     }
   for (const auto& r : rooms) {
     if (r.partition < 0 || (r.spot && !s.spot) || !s.allows_type(r.type->name)) continue;
-    const double n = std::min<double>(s.tasks, s.tasks_in(r.cpus, r.gpus, r.memory));
+    const double n = std::min<double>(s.tasks, s.tasks_in({r.cpus, r.gpus, r.memory}));
     if (n >= 1) tasks[{r.partition, s.one_zone ? r.zone : ""}] += n;
   }
   GangTarget best;
@@ -812,7 +824,7 @@
   if (waiting.empty()) return;
   std::vector<Space> rooms = spaces(statuses);
   double least = std::numeric_limits<double>::infinity();
-  for (const auto& w : waiting) least = std::min(least, w.job->spec.cpus);
+  for (const auto& w : waiting) least = std::min(least, w.job->spec.request.cpus);
   std::erase_if(rooms, [&](const Space& r) { return r.cpus + 1e-9 < least; });
   std::map<Offer, int> wanted, homes;
   const double pause = kRentReports * ctx_.settings.platform.report_s;
@@ -851,11 +863,11 @@
     auto fill = [&](Space& r) {
       if ((r.spot && !s.spot) || !in_partition(r.partition) || !s.allows_type(r.type->name)) return;
       const double n = std::min<double>(std::min(count, zone_left(r.zone)),
-                                        s.tasks_in(r.cpus, r.gpus, r.memory));
+                                        s.tasks_in({r.cpus, r.gpus, r.memory}));
       if (n < 1) return;
-      r.cpus -= n * s.cpus;
-      r.gpus -= n * s.gpus;
-      r.memory -= n * s.memory_gb;
+      r.cpus -= n * s.request.cpus;
+      r.gpus -= n * s.request.gpus;
+      r.memory -= n * s.request.memory_gb;
       count -= static_cast<uint32_t>(n);
       left[s.spot] -= n;
       zones[r.zone] += static_cast<uint32_t>(n);
@@ -879,9 +891,9 @@
       Space kept{&type->second,
                  m->zone,
                  m->spot,
-                 type->second.cpus * rest,
-                 type->second.gpus * rest,
-                 type->second.memory_gb * rest,
+                 type->second.capacity.cpus * rest,
+                 type->second.capacity.gpus * rest,
+                 type->second.capacity.memory_gb * rest,
                  m->partition};
       const uint32_t before = count;
       fill(kept);
@@ -899,7 +911,8 @@
       const model::MachineType* best_type = nullptr;
       double best_cost = std::numeric_limits<double>::infinity();
       for (const auto& [name, t] : replica_.types) {
-        if (!s.allows_type(name) || s.cpus > t.cpus || s.gpus > t.gpus || s.memory_gb > t.memory_gb)
+        if (!s.allows_type(name) || s.request.cpus > t.capacity.cpus ||
+            s.request.gpus > t.capacity.gpus || s.request.memory_gb > t.capacity.memory_gb)
           continue;
         for (bool spot : {true, false}) {
           if (spot && !s.spot) continue;
@@ -922,8 +935,8 @@
       if (best_type == nullptr) break;
       ++wanted[best];
       if (home >= 0) homes[best] = home;
-      rooms.push_back({best_type, best.zone, best.pool.spot, best_type->cpus, best_type->gpus,
-                       best_type->memory_gb, home});
+      rooms.push_back({best_type, best.zone, best.pool.spot, best_type->capacity.cpus,
+                       best_type->capacity.gpus, best_type->capacity.memory_gb, home});
       const uint32_t before = count;
       fill(rooms.back());
       if (count == before) break;
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -1,11 +1,17 @@
 // The leader's dealings with the cloud: sizing once a period, on-demand rentals, releases.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "rooksill/fleet/silent_machines.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/policy/demand.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/silent_machines.cc
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <numeric>
 
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+
 namespace rooksill::fleet {
 
 namespace {
@@ -107,9 +110,9 @@
   for (const auto& ref : load.tasks)
     highest = std::max(highest, static_cast<size_t>(replica_.job(ref.job)->spec.priority));
   const auto lower_end = lower_elsewhere_.begin() + static_cast<long>(highest);
-  if (load.cpus > std::accumulate(lower_elsewhere_.begin(), lower_end, room_elsewhere_))
+  if (load.used.cpus > std::accumulate(lower_elsewhere_.begin(), lower_end, room_elsewhere_))
     return false;
-  double left = load.cpus;
+  double left = load.used.cpus;
   auto take_from = [&left](double& room) {
     const double taken = std::min(room, left);
     room -= taken;
--- a/src/rooksill/fleet/silent_machines.h
+++ b/src/rooksill/fleet/silent_machines.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <utility>
 
+#include "rooksill/model/machine.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/replica.h"
 #include "rooksill/wire/controller_messages.h"
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -2,10 +2,21 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
+#include <functional>
+#include <map>
 #include <nlohmann/json.hpp>
+#include <set>
+#include <string>
 #include <tuple>
+#include <utility>
+#include <vector>
 
 #include "rooksill/membership/upgrade.h"
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -71,10 +82,10 @@
     return;
   }
   // Our own former process is dead for certain: its key need not run out. Any other's must.
-  const bool former_self = replica_.leader.revision != 0 &&
+  const bool former_self = replica_.leader.revision != model::kNoRevision &&
                            replica_.leader.label == ctx_.settings.platform.label &&
                            replica_.leader.incarnation != ctx_.incarnation;
-  if (replica_.leader.revision != 0 && !former_self) {
+  if (replica_.leader.revision != model::kNoRevision && !former_self) {
     vacant_since_ = 0;
     return;
   }
@@ -98,7 +109,7 @@
       [this, ttl, asked](const runtime::CallDone& d) {
         json j = d.status == 200 ? json::parse(d.body, nullptr, false) : json();
         if (!j.is_object() || !j.contains("hold") || !j["hold"].is_number_unsigned() ||
-            (replica_.leader.revision != 0 &&
+            (replica_.leader.revision != model::kNoRevision &&
              replica_.leader.label != ctx_.settings.platform.label)) {
           electing_ = false;
           return;
@@ -207,7 +218,7 @@
   next.incarnation = incarnation;
   for (const auto& l : replica_.leases)
     next.fencing_token = std::max(next.fencing_token, l.fencing_token);
-  ++next.fencing_token;
+  next.fencing_token = model::next(next.fencing_token);
   const auto key = wire::lease_key(partition);
   bool sent = committer_.commit({{wire::kLeaderKey, replica_.leader.revision},
                                  {key, replica_.leases[static_cast<size_t>(partition)].revision}},
@@ -224,7 +235,7 @@
   if (!sent) return;
   leasing_.insert(partition);
   ctx_.info("leader", "block {} leased to {} with token {} ({})", partition, label,
-            next.fencing_token, why);
+            model::number(next.fencing_token), why);
 }
 
 void Leader::assign_partitions() {
@@ -402,9 +413,9 @@
   };
   auto slots = [&](const Pool& p, double cpus) {
     double n = wanted;
-    if (s.cpus > 0) n = std::min(n, std::floor(cpus / s.cpus + 1e-9));
-    if (s.memory_gb > 0) n = std::min(n, std::floor(p.memory / s.memory_gb + 1e-9));
-    if (s.gpus > 0) n = std::min(n, std::floor(p.gpus / s.gpus + 1e-9));
+    if (s.request.cpus > 0) n = std::min(n, std::floor(cpus / s.request.cpus + 1e-9));
+    if (s.request.memory_gb > 0) n = std::min(n, std::floor(p.memory / s.request.memory_gb + 1e-9));
+    if (s.request.gpus > 0) n = std::min(n, std::floor(p.gpus / s.request.gpus + 1e-9));
     return std::max(0.0, n) * (s.spot && !p.spot ? 0.3 : 1);
   };
   // What lower work could leave, if there is no room.
@@ -442,7 +453,7 @@
     fits[b].room = fit;
     // A partition without a share for this team cannot take the job, whatever its room.
     const int partition = static_cast<int>(b);
-    if (quota::quota_share(ctx_.settings, replica_, s.team, partition).cpus < s.cpus) {
+    if (quota::quota_share(ctx_.settings, replica_, s.team, partition).cpus < s.request.cpus) {
       score[b] = -1;
       continue;
     }
@@ -452,7 +463,7 @@
     cached = std::min(cached, within);
     // Where there is no room, work goes to where lower work can make it.
     const double unplaced = std::max(0.0, std::min(wanted, within) - fit);
-    if (s.cpus > 0) score[b] += 2 * std::min(unplaced, std::floor(lower / s.cpus));
+    if (s.request.cpus > 0) score[b] += 2 * std::min(unplaced, std::floor(lower / s.request.cpus));
     score[b] +=
         10 * std::min(fit, wanted) + 5 * std::min(cached, wanted) + 0.01 * std::min(fit, 100.0);
     // Sums over machines say too much of room for a whole gang: where it found none, another
@@ -470,19 +481,19 @@
   double left = wanted;
   for (Pool& p : pools_[best]) {
     if (left <= 0) break;
-    if (!usable(p) || s.cpus <= 0) continue;
-    const double n = std::min(left, std::max(0.0, std::floor(p.cpus / s.cpus)));
-    p.cpus -= n * s.cpus;
-    p.memory -= n * s.memory_gb;
-    p.gpus -= n * s.gpus;
+    if (!usable(p) || s.request.cpus <= 0) continue;
+    const double n = std::min(left, std::max(0.0, std::floor(p.cpus / s.request.cpus)));
+    p.cpus -= n * s.request.cpus;
+    p.memory -= n * s.request.memory_gb;
+    p.gpus -= n * s.request.gpus;
     left -= n;
   }
   for (Pool& p : pools_[best]) {
     if (!usable(p)) continue;
     for (size_t k = 0; k < static_cast<size_t>(s.priority) && left > 0; ++k) {
-      const double stopped = std::min(p.cpus_by_priority[k], left * s.cpus);
+      const double stopped = std::min(p.cpus_by_priority[k], left * s.request.cpus);
       p.cpus_by_priority[k] -= stopped;
-      if (s.cpus > 0) left -= stopped / s.cpus;
+      if (s.request.cpus > 0) left -= stopped / s.request.cpus;
     }
   }
   return static_cast<int>(best);
@@ -561,13 +572,13 @@
   if (full) {
     next_full_routes_ = now + ctx_.settings.platform.report_s / 6;
     std::erase_if(routes_, [&](const auto& r) {
-      const model::Job* job = replica_.job(r.first.first);
-      if (job == nullptr || job->over() || r.first.second >= job->shards.size()) return true;
-      const model::TaskShard& c = job->shards[r.first.second];
+      const model::Job* job = replica_.job(r.first.job);
+      if (job == nullptr || job->over() || r.first.index >= job->shards.size()) return true;
+      const model::TaskShard& c = job->shards[r.first.index];
       return c.done + c.placed >= c.tasks.size();
     });
     for (const auto& [key, r] : routes_)
-      messages[owner(r.partition)].routes.push_back({key.first, key.second});
+      messages[owner(r.partition)].routes.push_back({key.job, key.index});
     for (const auto& name : fleet_.draining())
       if (const model::Machine* m = replica_.machine(name))
         messages[owner(m->partition)].drain.push_back(name);
@@ -592,7 +603,7 @@
 // Since when each shard waits. What has just come is being placed; only what found no room counts.
 std::vector<fleet::Waiting> Leader::waiting() {
   std::vector<fleet::Waiting> out;
-  std::map<partition::ShardId, double> since;
+  std::map<model::ShardId, double> since;
   const double now = ctx_.now.steady;
   for (const auto& id : replica_.waiting_jobs) {
     const model::Job& job = *replica_.job(id);
--- a/src/rooksill/leader/leader.h
+++ b/src/rooksill/leader/leader.h
@@ -2,10 +2,17 @@
 #pragma once
 
 #include <array>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
 #include <unordered_map>
+#include <vector>
 
 #include "rooksill/fleet/fleet.h"
 #include "rooksill/membership/peers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/partition/partition_owner.h"
 #include "rooksill/quota/quota_balancer.h"
 #include "rooksill/runtime/context.h"
@@ -78,8 +85,8 @@
     int partition = 0;
     double since = 0;
   };
-  std::map<partition::ShardId, Routed> routes_;
-  std::map<partition::ShardId, double> waiting_since_;
+  std::map<model::ShardId, Routed> routes_;
+  std::map<model::ShardId, double> waiting_since_;
   std::set<std::string> finishing_;
   std::vector<std::vector<Pool>> pools_;  // by partition
   std::map<int, std::vector<wire::ShardRoute>> fresh_routes_;
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -3,9 +3,11 @@
 // be unknown to it. The argument is in docs/safety.md.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
+#include <utility>
 
 #include "rooksill/membership/peers.h"
 #include "rooksill/runtime/context.h"
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -1,6 +1,10 @@
 #include "rooksill/membership/peers.h"
 
 #include <algorithm>
+#include <optional>
+#include <vector>
+
+#include "rooksill/model/coordination.h"
 
 namespace rooksill::membership {
 
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -2,9 +2,14 @@
 #pragma once
 
 #include <algorithm>
+#include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
+#include <vector>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/replica.h"
 #include "rooksill/wire/controller_messages.h"
@@ -16,7 +21,7 @@
   int version = 0;  // of the envelope that came last
   double last_heard = -1e9, first_heard = 0;
   double liveness_seen_at = -1e9;  // when its last liveness record for us was seen in the state
-  uint64_t liveness_revision = 0;  // of the last one known
+  model::Revision liveness_revision = model::kNoRevision;  // of the last one known
   wire::ControllerHeartbeat heartbeat;
 };
 
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -1,8 +1,12 @@
 #include "rooksill/membership/upgrade.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <nlohmann/json.hpp>
+#include <utility>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::membership {
@@ -34,7 +38,7 @@
 void Upgrade::record_version() {
   const std::string& label = ctx_.settings.platform.label;
   model::VersionRecord record = replica_.versions[label];
-  const uint64_t known = record.revision;
+  const model::Revision known = record.revision;
   record.version = model::kPresentVersion;
   record.incarnation = ctx_.incarnation;
   const std::string key = wire::version_key(label);
@@ -59,11 +63,12 @@
                    [&](const auto& label) { return has_present_version(label); }))
     return;
   std::vector<store::Precondition> preconditions{{wire::kLeaderKey, replica_.leader.revision},
-                                                 {wire::kUpgradeKey, 0}};
+                                                 {wire::kUpgradeKey, model::kNoRevision}};
   for (const auto& label : labels)
     preconditions.push_back({wire::version_key(label), replica_.versions[label].revision});
   ctx_.info("upgrade", "all {} controllers have version {}", labels.size(), model::kPresentVersion);
-  commit(preconditions, {wire::kUpgradeKey, wire::encode_upgrade({0, model::kPresentVersion}), 0});
+  commit(preconditions, {wire::kUpgradeKey,
+                         wire::encode_upgrade({model::kNoRevision, model::kPresentVersion}), 0});
 }
 
 void Upgrade::commit(const std::vector<store::Precondition>& preconditions, store::Write write) {
--- a/src/rooksill/membership/upgrade.h
+++ b/src/rooksill/membership/upgrade.h
@@ -5,7 +5,12 @@
 // version.
 #pragma once
 
+#include <string>
+#include <vector>
+
 #include "rooksill/membership/peers.h"
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
 #include "rooksill/store/replica.h"
@@ -21,7 +26,8 @@
   void tick(bool leading);
   // Every controller has the present version: a durable fact, never taken back.
   static bool complete(const store::Replica& replica) {
-    return replica.upgrade.revision != 0 && replica.upgrade.version >= model::kPresentVersion;
+    return replica.upgrade.revision != model::kNoRevision &&
+           replica.upgrade.version >= model::kPresentVersion;
   }
 
   // Whether a process that says it is ready was started with an older version after all had the
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -3,6 +3,9 @@
 #include <sys/socket.h>
 
 #include <cerrno>
+#include <cstdint>
+#include <iterator>
+#include <utility>
 #include <vector>
 
 namespace rooksill::net {
--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -1,7 +1,9 @@
 // The calling side: the state service, the cloud and workers, over kept connections.
 #pragma once
 
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <list>
 #include <map>
 #include <memory>
--- a/src/rooksill/net/http_server.cc
+++ b/src/rooksill/net/http_server.cc
@@ -7,6 +7,7 @@
 
 #include <cerrno>
 #include <cmath>
+#include <utility>
 #include <vector>
 
 namespace rooksill::net {
--- a/src/rooksill/net/http_server.h
+++ b/src/rooksill/net/http_server.h
@@ -1,6 +1,8 @@
 // The listening side: users, workers and health checks.
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -3,6 +3,7 @@
 #include <sys/socket.h>
 
 #include <cerrno>
+#include <utility>
 
 namespace rooksill::net {
 
--- a/src/rooksill/net/peer_net.h
+++ b/src/rooksill/net/peer_net.h
@@ -1,6 +1,8 @@
 // Framed messages between controllers: four bytes of length, then msgpack. One connection each way.
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
--- a/src/rooksill/net/socket.cc
+++ b/src/rooksill/net/socket.cc
@@ -9,6 +9,7 @@
 
 #include <cerrno>
 #include <charconv>
+#include <cstdint>
 #include <cstring>
 #include <stdexcept>
 
--- a/src/rooksill/partition/owner_gang_placement.cc
+++ b/src/rooksill/partition/owner_gang_placement.cc
@@ -3,8 +3,16 @@
 // next attempt waits until all of it is gone.
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <limits>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
 #include "rooksill/partition/partition_owner.h"
 #include "rooksill/placement/gang_plan.h"
 #include "rooksill/wire/store_codec.h"
@@ -93,8 +101,8 @@
   for (const auto& [partition, revision] : owned_) {
     const auto& used = quota_use_[{partition, s.team}];
     const model::QuotaShare& share = team_quota(s.team, partition);
-    const double left = s.tasks_in(share.cpus - used.first, share.gpus - used.second,
-                                   std::numeric_limits<double>::infinity());
+    const double left = s.tasks_in({share.cpus - used.first, share.gpus - used.second,
+                                    std::numeric_limits<double>::infinity()});
     out[partition] = std::clamp<double>(left, 0, s.tasks);
   }
   return out;
@@ -133,11 +141,12 @@
   const model::JobSpec& s = job.spec;
   std::map<std::string, double> could_hold;  // by zone
   for (const Worker* w : workers) {
-    if (!allowed(s, *w) || s.cpus <= 0) continue;
+    if (!allowed(s, *w) || s.request.cpus <= 0) continue;
     const Room& room = w->room;
     double cpus = room.cpus + room.leaving_cpus - reserve(s, room);
     for (size_t p = 0; p < static_cast<size_t>(s.priority); ++p) cpus += room.cpus_by_priority[p];
-    could_hold[s.one_zone ? room.zone : ""] += std::max(0.0, std::floor((cpus + kSlack) / s.cpus));
+    could_hold[s.one_zone ? room.zone : ""] +=
+        std::max(0.0, std::floor((cpus + kSlack) / s.request.cpus));
   }
   const auto best =
       std::max_element(could_hold.begin(), could_hold.end(),
@@ -154,9 +163,9 @@
     if (!allowed(s, *w) || (!zone.empty() && w->room.zone != zone)) continue;
     const uint32_t here = std::min(missing, slots(s, *w));
     Unmet& taken = set_aside_[w];
-    taken.cpus += here * s.cpus;
-    taken.gpus += here * s.gpus;
-    taken.memory += here * s.memory_gb;
+    taken.cpus += here * s.request.cpus;
+    taken.gpus += here * s.request.gpus;
+    taken.memory += here * s.request.memory_gb;
     missing -= here;
   }
   if (enough && missing > 0 && s.priority > model::Priority::kIdle)
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -1,8 +1,17 @@
 // Placement inside the partitions that this controller holds.
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <limits>
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/partition/partition_owner.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
@@ -47,18 +56,18 @@
   auto type = replica_.types.find(m->type);
   if (type != replica_.types.end()) {
     room.type = &type->second;
-    room.cpus = room.type->cpus;
-    room.gpus = room.type->gpus;
-    room.memory = room.type->memory_gb;
+    room.cpus = room.type->capacity.cpus;
+    room.gpus = room.type->capacity.gpus;
+    room.memory = room.type->capacity.memory_gb;
   }
   auto use = [&](const model::Job& job, double sign) {
     const model::JobSpec& s = job.spec;
-    room.cpus -= sign * s.cpus;
-    room.gpus -= sign * s.gpus;
-    room.memory -= sign * s.memory_gb;
+    room.cpus -= sign * s.request.cpus;
+    room.gpus -= sign * s.request.gpus;
+    room.memory -= sign * s.request.memory_gb;
     auto& team = room.teams[s.team];
-    team.first += sign * s.cpus;
-    team.second += sign * s.gpus;
+    team.first += sign * s.request.cpus;
+    team.second += sign * s.request.gpus;
     if (sign < 0) {
       --room.tasks;
       return;
@@ -75,12 +84,12 @@
     auto e = evicted_.find(ref);
     const model::TaskState* t = replica_.task(ref);
     if (e != evicted_.end() && t != nullptr && e->second == t->attempt) {
-      room.leaving_cpus += job.spec.cpus;
-      room.leaving_gpus += job.spec.gpus;
-      room.leaving_memory += job.spec.memory_gb;
+      room.leaving_cpus += job.spec.request.cpus;
+      room.leaving_gpus += job.spec.request.gpus;
+      room.leaving_memory += job.spec.request.memory_gb;
     } else if (job.spec.shape !=
                model::Shape::kGang) {  // a gang makes no room: it goes whole or not
-      room.cpus_by_priority[static_cast<size_t>(job.spec.priority)] += job.spec.cpus;
+      room.cpus_by_priority[static_cast<size_t>(job.spec.priority)] += job.spec.request.cpus;
     }
   }
   std::set<model::TaskRef> ended;
@@ -138,7 +147,8 @@
 }
 
 bool PartitionOwner::fits(const model::JobSpec& s, double cpus, double gpus, double memory) {
-  return s.cpus <= cpus + kSlack && s.gpus <= gpus + kSlack && s.memory_gb <= memory + kSlack;
+  return s.request.cpus <= cpus + kSlack && s.request.gpus <= gpus + kSlack &&
+         s.request.memory_gb <= memory + kSlack;
 }
 
 double PartitionOwner::reserve(const model::JobSpec& s, const Room& r) const {
@@ -149,8 +159,8 @@
     if (o.kind == "wait") soonest = std::min(soonest, o.within_s);
   // Nobody's start is that urgent, or the task needs nearly all of the machine: with room kept free
   // it would never run there.
-  const double kept = kOrdinaryReserve * r.type->cpus;
-  if (std::isinf(soonest) || s.cpus > r.type->cpus - kept) return 0;
+  const double kept = kOrdinaryReserve * r.type->capacity.cpus;
+  if (std::isinf(soonest) || s.request.cpus > r.type->capacity.cpus - kept) return 0;
   if (s.priority < model::Priority::kUrgent && s.checkpoint_s > 0 && s.save_s < 0.75 * soonest)
     return 0;
   return kept;
@@ -170,7 +180,8 @@
 bool PartitionOwner::within_quota(const model::JobSpec& s, int partition) {
   const auto& used = quota_use_[{partition, s.team}];
   const model::QuotaShare& share = team_quota(s.team, partition);
-  return used.first + s.cpus <= share.cpus + kSlack && used.second + s.gpus <= share.gpus + kSlack;
+  return used.first + s.request.cpus <= share.cpus + kSlack &&
+         used.second + s.request.gpus <= share.gpus + kSlack;
 }
 
 // Whether what the team has in the machine's partition, with what is placed there, is too much
@@ -192,14 +203,14 @@
   };
   const auto aside = set_aside_.find(&w);
   const Unmet taken = aside == set_aside_.end() ? Unmet{} : aside->second;
-  part(r.cpus - kept - taken.cpus, s.cpus);
-  part(r.gpus - taken.gpus, s.gpus);
-  part(r.memory - taken.memory, s.memory_gb);
+  part(r.cpus - kept - taken.cpus, s.request.cpus);
+  part(r.gpus - taken.gpus, s.request.gpus);
+  part(r.memory - taken.memory, s.request.memory_gb);
   if (n < 1) return 0;
   const auto& used = quota_use_[{r.partition, s.team}];
   const model::QuotaShare& share = team_quota(s.team, r.partition);
-  part(share.cpus - used.first, s.cpus);
-  part(share.gpus - used.second, s.gpus);
+  part(share.cpus - used.first, s.request.cpus);
+  part(share.gpus - used.second, s.request.gpus);
   return n < 1 ? 0 : static_cast<uint32_t>(n);
 }
 
@@ -221,9 +232,9 @@
   auto trouble = troubles_.find(s.id);
   if (trouble != troubles_.end() && trouble->second.machines.count(w.name) != 0) out += 1e6;
   const double price = r.spot ? r.type->spot_price : r.type->price;
-  if (r.type->cpus > 0) {
-    out += 50 * price / r.type->cpus / cheapest_;
-    out += 10 * r.cpus / r.type->cpus;  // fill the fuller machine, so that others empty
+  if (r.type->capacity.cpus > 0) {
+    out += 50 * price / r.type->capacity.cpus / cheapest_;
+    out += 10 * r.cpus / r.type->capacity.cpus;  // fill the fuller machine, so that others empty
   }
   return out;
 }
@@ -261,9 +272,9 @@
     while (made < count && usable(*w) &&
            fits(s, r.cpus + r.leaving_cpus - reserve(s, r) - taken.cpus,
                 r.gpus + r.leaving_gpus - taken.gpus, r.memory + r.leaving_memory - taken.memory)) {
-      taken.cpus += s.cpus;
-      taken.gpus += s.gpus;
-      taken.memory += s.memory_gb;
+      taken.cpus += s.request.cpus;
+      taken.gpus += s.request.gpus;
+      taken.memory += s.request.memory_gb;
       ++in_zone[r.zone];
       ++made;
     }
@@ -273,10 +284,10 @@
     const Room& r = w->room;
     if (lower(r) <= 0 || !usable(*w)) continue;
     // Without the room that is kept free there, or it would be made again and again for nobody.
-    if (r.cpus + r.leaving_cpus + lower(r) - reserve(s, r) + kSlack < s.cpus) continue;
+    if (r.cpus + r.leaving_cpus + lower(r) - reserve(s, r) + kSlack < s.request.cpus) continue;
     // Where little has to go, and of the lowest priority.
     const double lowest = r.cpus_by_priority[0];
-    const double missing = std::max(0.0, s.cpus - r.cpus - r.leaving_cpus);
+    const double missing = std::max(0.0, s.request.cpus - r.cpus - r.leaving_cpus);
     options.emplace_back(missing + (lowest < missing ? 1e3 : 0), w);
   }
   std::sort(options.begin(), options.end(), [](const auto& a, const auto& b) {
@@ -304,9 +315,9 @@
       auto until = victim;
       for (; until != lowers.end() && !fits(s, cpus, gpus, memory); ++until) {
         const model::JobSpec& other = replica_.job(until->second.job)->spec;
-        cpus += other.cpus;
-        gpus += other.gpus;
-        memory += other.memory_gb;
+        cpus += other.request.cpus;
+        gpus += other.request.gpus;
+        memory += other.request.memory_gb;
       }
       if (!fits(s, cpus, gpus, memory)) break;
       for (; victim != until; ++victim) {
@@ -318,9 +329,9 @@
         evicted_[ref] = replica_.task(ref)->attempt;
         stopped = true;
       }
-      taken.cpus += s.cpus;
-      taken.gpus += s.gpus;
-      taken.memory += s.memory_gb;
+      taken.cpus += s.request.cpus;
+      taken.gpus += s.request.gpus;
+      taken.memory += s.request.memory_gb;
       ++in_zone[r.zone];
       ++made;
       if (stopped) work_out_room(*w);
@@ -364,16 +375,16 @@
   if (owned_.empty() || routed_.empty()) return;
   std::vector<Candidate> waiting;
   for (auto it = routed_.begin(); it != routed_.end();) {
-    const model::Job* job = replica_.job(it->first);
-    if (job != nullptr && (job->over() || it->second >= job->shards.size())) {
+    const model::Job* job = replica_.job(it->job);
+    if (job != nullptr && (job->over() || it->index >= job->shards.size())) {
       it = routed_.erase(it);
       continue;
     }
     if (job != nullptr) {
-      const model::TaskShard& c = job->shards[it->second];
+      const model::TaskShard& c = job->shards[it->index];
       const bool ended = work_.count(*it) != 0;  // and may have a place to find anew
-      if ((ended || c.done + c.placed < c.tasks.size()) && !backing_off(it->first))
-        waiting.push_back({job, it->second, due_time(*job)});
+      if ((ended || c.done + c.placed < c.tasks.size()) && !backing_off(it->job))
+        waiting.push_back({job, it->index, due_time(*job)});
     }
     ++it;
   }
@@ -387,7 +398,7 @@
   });
   cheapest_ = std::numeric_limits<double>::infinity();
   for (const auto& [name, t] : replica_.types)
-    if (t.cpus > 0) cheapest_ = std::min(cheapest_, t.price / t.cpus);
+    if (t.capacity.cpus > 0) cheapest_ = std::min(cheapest_, t.price / t.capacity.cpus);
   if (!(cheapest_ > 0)) cheapest_ = 1;
   shares_.clear();
   unmet_.clear();
@@ -416,8 +427,8 @@
   const int kind =
       (s.spot ? 1 : 0) + (s.checkpoint_s > 0 ? 2 : 0) + 4 * static_cast<int>(s.priority);
   auto known = unmet_.find(kind);
-  if (plain && known != unmet_.end() && s.cpus >= known->second.cpus &&
-      s.gpus >= known->second.gpus && s.memory_gb >= known->second.memory)
+  if (plain && known != unmet_.end() && s.request.cpus >= known->second.cpus &&
+      s.request.gpus >= known->second.gpus && s.request.memory_gb >= known->second.memory)
     return;
   // Tasks of one shard are alike: all of them look for places at once.
   std::vector<uint32_t> todo;
@@ -525,10 +536,10 @@
   if (s.priority > model::Priority::kIdle && evictions_ < kMaxEvictions)
     if (make_room(job, left, workers, zones, only_zone, false) >= left) return;
   if (!plain) return;
-  const bool smaller =
-      known == unmet_.end() || (s.cpus <= known->second.cpus && s.gpus <= known->second.gpus &&
-                                s.memory_gb <= known->second.memory);
-  if (smaller) unmet_[kind] = {s.cpus, s.gpus, s.memory_gb};
+  const bool smaller = known == unmet_.end() || (s.request.cpus <= known->second.cpus &&
+                                                 s.request.gpus <= known->second.gpus &&
+                                                 s.request.memory_gb <= known->second.memory);
+  if (smaller) unmet_[kind] = {s.request.cpus, s.request.gpus, s.request.memory_gb};
 }
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -1,7 +1,13 @@
 #include "rooksill/partition/partition_owner.h"
 
 #include <algorithm>
+#include <iterator>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/value_sizes.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/runtime/socket_budget.h"
 #include "rooksill/wire/store_codec.h"
@@ -79,7 +85,8 @@
 void PartitionOwner::activate(int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
   owned_[partition] = lease.revision;
-  ctx_.info("holder", "block {} taken, token {}", partition, lease.fencing_token);
+  ctx_.info("holder", "partition {} taken, token {}", partition,
+            model::number(lease.fencing_token));
   drop_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
     replica_.touched_machines.insert(page.names.begin(), page.names.end());
@@ -135,10 +142,10 @@
     Worker w;
     w.name = name;
     w.partition = m->partition;
-    w.fencing_token = replica_.leases[static_cast<size_t>(m->partition)].fencing_token
-                      << model::kFencingTokenShift;
+    w.fencing_token =
+        model::first_worker_token(replica_.leases[static_cast<size_t>(m->partition)].fencing_token);
     w.unacknowledged_token =
-        w.fencing_token - 1;  // any former owner's command may still be under way
+        model::previous(w.fencing_token);  // any former owner's command may still be under way
     w.last_heard = w.last_report = ctx_.now.steady;
     auto a = addresses_.find(name);
     if (a != addresses_.end()) w.address = a->second;
@@ -367,8 +374,8 @@
   Worker& w = it->second;
   // A higher token than ours: somebody else is entitled. A 200 would burn the worker's lease.
   if (r->fencing_token > w.fencing_token) {
-    ctx_.info("holder", "machine {} has token {} above ours {}", w.name, r->fencing_token,
-              w.fencing_token);
+    ctx_.info("holder", "machine {} has token {} above ours {}", w.name,
+              model::number(r->fencing_token), model::number(w.fencing_token));
     return ctx_.reply(request, 421, "{}");
   }
   ctx_.count("reports");
@@ -394,7 +401,7 @@
     return;
   if (!w.reported || r.agent_epoch != w.agent_epoch)
     ctx_.info("holder", "machine {} reports: session {} token {} tasks {}", w.name, r.agent_epoch,
-              r.fencing_token, r.tasks.size());
+              model::number(r.fencing_token), r.tasks.size());
   w.reported = true;
   w.agent_epoch = r.agent_epoch;
   w.sequence = r.sequence;
@@ -613,7 +620,7 @@
     if (c.kind == Change::Kind::kPlace) w->second.placing.insert(task);
   }
   c.lease = replica_.leases[static_cast<size_t>(c.partition)].revision;
-  const ShardId id{task.job, task.index / job->tasks_per_shard};
+  const model::ShardId id{task.job, task.index / job->tasks_per_shard};
   ShardWork& work = work_[id];
   if (work.waiting.empty()) work.since = ctx_.now.steady;
   const uint32_t index = task.index % job->tasks_per_shard;
@@ -631,11 +638,11 @@
 }
 
 // A change that is not to be written any more, or has been.
-void PartitionOwner::drop_change(const ShardId& id, uint32_t index, const Change& c) {
+void PartitionOwner::drop_change(const model::ShardId& id, uint32_t index, const Change& c) {
   auto w = workers_.find(c.machine);
   if (w == workers_.end()) return;
-  const model::Job* job = replica_.job(id.first);
-  if (job != nullptr) w->second.placing.erase({id.first, id.second * job->tasks_per_shard + index});
+  const model::Job* job = replica_.job(id.job);
+  if (job != nullptr) w->second.placing.erase({id.job, id.index * job->tasks_per_shard + index});
   attend(w->second);
   placement_requested_ = true;
 }
@@ -677,9 +684,9 @@
   return true;
 }
 
-void PartitionOwner::queue(const ShardId& id, ShardWork& work) {
+void PartitionOwner::queue(const model::ShardId& id, ShardWork& work) {
   unqueue(id, work);
-  const model::Job* job = replica_.job(id.first);
+  const model::Job* job = replica_.job(id.job);
   if (job == nullptr || work.waiting.empty()) return;
   uint32_t done = job->done;
   bool decided = false, leaving = false;
@@ -694,13 +701,13 @@
   int rank = kDeferred;
   if (leaving || done >= job->spec.tasks)
     rank = 0;
-  else if (decided || !more_to_come(*job, id.second, work))
+  else if (decided || !more_to_come(*job, id.index, work))
     rank = decision_rank(job->spec);
   work.queued = Rank{rank, work.since};
   queue_.insert({*work.queued, id});
 }
 
-void PartitionOwner::unqueue(const ShardId& id, ShardWork& work) {
+void PartitionOwner::unqueue(const model::ShardId& id, ShardWork& work) {
   if (work.queued) queue_.erase({*work.queued, id});
   work.queued.reset();
 }
@@ -708,14 +715,14 @@
 // The revisions that a placement depends on: its partition's lease and, where a job's tasks depend
 // on each other's places, all its shards. The transaction guards what is known when it is sent;
 // without this, a decision made on older knowledge would go out under newer guards.
-uint64_t PartitionOwner::basis(const model::Job& job, int partition) const {
-  uint64_t newest = replica_.leases[static_cast<size_t>(partition)].revision;
+model::Revision PartitionOwner::basis(const model::Job& job, int partition) const {
+  model::Revision newest = replica_.leases[static_cast<size_t>(partition)].revision;
   if (job.spec.spread || job.spec.one_zone)
     for (const auto& c : job.shards) newest = std::max(newest, c.revision);
   return newest;
 }
 
-bool PartitionOwner::under(int partition, uint64_t lease) const {
+bool PartitionOwner::under(int partition, model::Revision lease) const {
   return owns(partition) && replica_.leases[static_cast<size_t>(partition)].revision == lease;
 }
 
@@ -747,8 +754,8 @@
 }
 
 // All tasks of an attempt are placed by one change, or none is; and all are done when one is.
-void PartitionOwner::keep_gang_whole(const model::Job& job, const ShardId& id, ShardWork& work,
-                                     std::vector<model::TaskState>& tasks) {
+void PartitionOwner::keep_gang_whole(const model::Job& job, const model::ShardId& id,
+                                     ShardWork& work, std::vector<model::TaskState>& tasks) {
   if (std::any_of(tasks.begin(), tasks.end(), [](const model::TaskState& t) { return t.done; })) {
     for (auto& t : tasks) {
       t.machine.clear();
@@ -781,9 +788,9 @@
 
 // What a shard's waiting changes come to. Those that are out of date are dropped; false if nothing
 // is left to be written.
-bool PartitionOwner::apply_waiting(const model::Job& job, const ShardId& id, ShardWork& work,
+bool PartitionOwner::apply_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
                                    ShardWrite& out) {
-  const model::TaskShard& shard = job.shards[id.second];
+  const model::TaskShard& shard = job.shards[id.index];
   out.tasks = shard.tasks;
   for (auto c = work.waiting.begin(); c != work.waiting.end();) {
     if (!apply_change(job, shard, out.tasks[c->first], c->second))
@@ -797,10 +804,10 @@
 
 // Takes a change back that waits to be written.
 PartitionOwner::Changes::iterator PartitionOwner::drop_waiting(
-    const model::Job& job, const ShardId& id, ShardWork& work, Changes::iterator at,
+    const model::Job& job, const model::ShardId& id, ShardWork& work, Changes::iterator at,
     std::vector<model::TaskState>& tasks) {
   const auto [index, change] = *at;
-  tasks[index] = job.shards[id.second].tasks[index];
+  tasks[index] = job.shards[id.index].tasks[index];
   const auto next = work.waiting.erase(at);
   drop_change(id, index, change);
   return next;
@@ -809,7 +816,7 @@
 // Whether the shard's value is one that the store takes, also with the limits to come. With
 // names of unusual length places are given up until it is. A value from before the limits were
 // lowered may be too large without any: it waits until enough of its tasks have ended.
-bool PartitionOwner::fits_value(const model::Job& job, const ShardId& id, ShardWork& work,
+bool PartitionOwner::fits_value(const model::Job& job, const model::ShardId& id, ShardWork& work,
                                 ShardWrite& out) {
   const size_t most = ctx_.settings.platform.state_value_bytes;
   const bool gang = job.spec.shape == model::Shape::kGang;
@@ -824,7 +831,7 @@
 }
 
 // The revisions that a shard's changes rest on.
-void PartitionOwner::add_preconditions(const model::Job& job, const ShardId& id,
+void PartitionOwner::add_preconditions(const model::Job& job, const model::ShardId& id,
                                        const ShardWork& work, ShardWrite& out) const {
   bool places = false;
   for (const auto& [i, c] : work.waiting) {
@@ -832,20 +839,20 @@
     out.preconditions[wire::lease_key(c.partition)] = c.lease;
     if (!c.from.empty()) out.preconditions[wire::lease_key(c.from_partition)] = c.from_lease;
   }
-  out.preconditions[wire::shard_key(id.first, id.second)] = job.shards[id.second].revision;
-  if (places || out.last) out.preconditions[wire::job_key(id.first)] = job.revision;
+  out.preconditions[wire::shard_key(id.job, id.index)] = job.shards[id.index].revision;
+  if (places || out.last) out.preconditions[wire::job_key(id.job)] = job.revision;
   // Where a task may go depends on where the job's others are, in whatever shard.
   if (places && (job.spec.spread || job.spec.one_zone))
     for (uint32_t c = 0; c < job.shards.size(); ++c)
-      out.preconditions[wire::shard_key(id.first, c)] = job.shards[c].revision;
+      out.preconditions[wire::shard_key(id.job, c)] = job.shards[c].revision;
 }
 
 // Adds a shard's waiting changes to the transaction, as far as they are still of use.
-PartitionOwner::Added PartitionOwner::add_to_group(const ShardId& id, Group& group) {
+PartitionOwner::Added PartitionOwner::add_to_group(const model::ShardId& id, Group& group) {
   ShardWork& work = work_[id];
-  const model::Job* job = replica_.job(id.first);
+  const model::Job* job = replica_.job(id.job);
   ShardWrite write;
-  const bool known = job != nullptr && id.second < job->shards.size();
+  const bool known = job != nullptr && id.index < job->shards.size();
   if (!known)
     for (const auto& [i, c] : std::exchange(work.waiting, {})) drop_change(id, i, c);
   if (!known || !apply_waiting(*job, id, work, write)) {
@@ -853,7 +860,7 @@
     work_.erase(id);
     return Added::kNothing;
   }
-  const model::TaskShard& shard = job->shards[id.second];
+  const model::TaskShard& shard = job->shards[id.index];
   uint32_t done = job->done - shard.done, on_machines = 0;
   for (const auto& t : write.tasks) {
     done += t.done ? 1 : 0;
@@ -878,12 +885,12 @@
       !group.shards.empty())
     return Added::kFull;
   group.preconditions.insert(write.preconditions.begin(), write.preconditions.end());
-  group.add({wire::shard_key(id.first, id.second), std::move(write.value), 0}, write.bytes);
+  group.add({wire::shard_key(id.job, id.index), std::move(write.value), 0}, write.bytes);
   if (finishes) {
     model::Job ended;
     ended.spec.tasks = job->spec.tasks;
     ended.end = model::JobEnd::kDone;
-    group.add({wire::job_key(id.first), wire::encode_job(ended), 0},
+    group.add({wire::job_key(id.job), wire::encode_job(ended), 0},
               0);  // a few bytes, as those around it
   }
   unqueue(id, work);
@@ -920,7 +927,7 @@
   };
   for (auto q = queue_.begin(); q != queue_.end();) {
     const auto [rank, since] = q->first;
-    const ShardId id = q->second;
+    const model::ShardId id = q->second;
     if (!may_add(rank) || group.writes.size() + 2 > most || group.bytes > kGroupBytes) break;
     if (rank == kDeferred && ctx_.now.steady - since < gather) break;
     ++q;
@@ -945,7 +952,7 @@
     send_again(group.shards);
 }
 
-void PartitionOwner::send_again(const std::vector<ShardId>& shards) {
+void PartitionOwner::send_again(const std::vector<model::ShardId>& shards) {
   for (const auto& id : shards) {
     ShardWork& work = work_[id];
     // What was decided since stays; what was sent is tried again.
@@ -956,7 +963,7 @@
   }
 }
 
-void PartitionOwner::drop_sent(const std::vector<ShardId>& shards) {
+void PartitionOwner::drop_sent(const std::vector<model::ShardId>& shards) {
   for (const auto& id : shards) {
     auto it = work_.find(id);
     if (it == work_.end()) continue;
@@ -974,12 +981,12 @@
 // till then: a place keeps its room and its part of the team's limit, and a task that it writes
 // lost is not started over in place. The same is sent again; whichever comes first, the other one
 // fails.
-void PartitionOwner::resolve(const std::vector<ShardId>& shards) {
+void PartitionOwner::resolve(const std::vector<model::ShardId>& shards) {
   for (const auto& id : shards) {
-    const model::Job* job = replica_.job(id.first);
+    const model::Job* job = replica_.job(id.job);
     auto work = work_.find(id);
-    const bool pending = job != nullptr && work != work_.end() && id.second < job->shards.size() &&
-                         job->shards[id.second].revision == work->second.sent_on;
+    const bool pending = job != nullptr && work != work_.end() && id.index < job->shards.size() &&
+                         job->shards[id.index].revision == work->second.sent_on;
     if (pending)
       send_again({id});
     else
@@ -987,7 +994,7 @@
   }
 }
 
-void PartitionOwner::settle(const std::vector<ShardId>& shards,
+void PartitionOwner::settle(const std::vector<model::ShardId>& shards,
                             const store::TransactionResult& result, std::vector<std::string> keys) {
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied: {
@@ -1025,7 +1032,7 @@
     if (it == workers_.end() || !it->second.attention) continue;
     Worker& w = it->second;
     w.attention = false;
-    if (w.sending != 0) continue;  // its answer brings attention again
+    if (w.sending != model::kNoFencingToken) continue;  // its answer brings attention again
     if (w.address.empty() || ctx_.now.steady < w.next_push ||
         sends_ >= runtime::kCommandSockets * ctx_.settings.platform.max_sockets) {
       w.attention = true;
@@ -1073,7 +1080,8 @@
   const bool starts = std::any_of(
       commands.begin(), commands.end(),
       [](const wire::WorkerCommand& o) { return o.op == wire::WorkerCommand::Op::kStart; });
-  ctx_.debug("holder", "machine {}: {} orders, token {}", w.name, commands.size(), w.fencing_token);
+  ctx_.debug("holder", "machine {}: {} orders, token {}", w.name, commands.size(),
+             model::number(w.fencing_token));
   ctx_.call(runtime::Target::kWorker, w.address, "POST", "/commands",
             wire::encode_commands(w.fencing_token, std::max<uint64_t>(1, w.agent_epoch), commands),
             report * kCommandReports,
@@ -1083,7 +1091,7 @@
               auto it = workers_.find(name);
               if (it == workers_.end() || it->second.sending != fencing_token) return;
               Worker& x = it->second;
-              x.sending = 0;
+              x.sending = model::kNoFencingToken;
               attend(x);
               auto r = done.status == 200 || done.status == 409 ? wire::parse_heartbeat(done.body)
                                                                 : std::nullopt;
@@ -1091,7 +1099,7 @@
                 if (done.status == 409) x.next_push = ctx_.now.steady + report / 30;
                 if (r->fencing_token > x.fencing_token) {
                   ctx_.info("holder", "machine {} has token {} above ours {}", name,
-                            r->fencing_token, x.fencing_token);
+                            model::number(r->fencing_token), model::number(x.fencing_token));
                   x.next_push = ctx_.now.steady + report;
                   return;
                 }
@@ -1102,9 +1110,9 @@
               // Not acknowledged: it may still run later, unless a higher token gets there first.
               if (starts && !done.refused) {
                 x.unacknowledged_token = std::max(x.unacknowledged_token, fencing_token);
-                x.fencing_token = std::max(x.fencing_token, fencing_token + 1);
+                x.fencing_token = std::max(x.fencing_token, model::next(fencing_token));
                 ctx_.debug("holder", "machine {}: command unacknowledged, token now {}", name,
-                           x.fencing_token);
+                           model::number(x.fencing_token));
               }
             });
 }
@@ -1139,7 +1147,7 @@
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
   shares_.clear();
-  transfers_.tick([this](int partition, uint64_t lease) { return under(partition, lease); });
+  transfers_.tick([this](int partition, model::Revision lease) { return under(partition, lease); });
   for (const auto& t : std::exchange(asked_transfers_, {})) {
     if (!owns(t.from)) continue;
     for (auto& [name, w] : workers_) room_of(w);
@@ -1187,12 +1195,12 @@
   for (auto& [name, w] : workers_) {
     const Room& room = room_of(w);
     reported += w.reported ? 1 : 0;
-    sending += w.sending != 0 ? 1 : 0;
+    sending += w.sending != model::kNoFencingToken ? 1 : 0;
     placed += replica_.placed_on(name).size();
     for (const auto& t : w.tasks) ++phases[static_cast<size_t>(t.phase)];
     if (!open(w)) continue;
     ++taking;
-    cpus += room.type->cpus;
+    cpus += room.type->capacity.cpus;
     free += room.cpus;
   }
   return fmt::format(
@@ -1219,9 +1227,10 @@
   v.gpus_free = room.gpus;
   v.memory_free = room.memory;
   v.tasks = room.tasks;
-  if (room.type != nullptr && room.type->cpus > 0) {
-    v.load = std::max(1 - room.cpus / room.type->cpus,
-                      room.type->memory_gb > 0 ? 1 - room.memory / room.type->memory_gb : 0);
+  if (room.type != nullptr && room.type->capacity.cpus > 0) {
+    v.load = std::max(
+        1 - room.cpus / room.type->capacity.cpus,
+        room.type->capacity.memory_gb > 0 ? 1 - room.memory / room.type->capacity.memory_gb : 0);
   }
   for (const auto& [image, gb] : w.images) v.images.push_back(replica_.image_name(image));
   return v;
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -3,11 +3,21 @@
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <list>
 #include <map>
+#include <optional>
+#include <set>
+#include <string>
 #include <unordered_map>
+#include <utility>
+#include <vector>
 
 #include "rooksill/membership/cancellations.h"
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/placement/gang_plan.h"
 #include "rooksill/quota/quota_transfers.h"
 #include "rooksill/runtime/context.h"
@@ -18,8 +28,6 @@
 
 namespace rooksill::partition {
 
-using ShardId = std::pair<std::string, uint32_t>;
-
 inline constexpr double kProbeReports = 1.15;  // silence, in reports, after which one is asked
 
 // What is free on a machine, as its owner sees it. Worked out anew when something there changed.
@@ -42,12 +50,15 @@
 struct Worker {
   std::string name, address;
   int partition = 0;
-  uint64_t fencing_token = 0;  // sent with every answer and command; only rises
+  model::FencingToken fencing_token =
+      model::kNoFencingToken;  // sent with every answer and command; only rises
   // Highest token that was sent with a direct command nobody acknowledged. Such a command may
   // still run until the worker has seen a higher one.
-  uint64_t unacknowledged_token = 0;
-  uint64_t sending = 0;  // token of the direct command under way, 0: none
-  uint64_t agent_epoch = 0, sequence = 0, seen_fencing_token = 0;
+  model::FencingToken unacknowledged_token = model::kNoFencingToken;
+  model::FencingToken sending =
+      model::kNoFencingToken;  // token of the direct command under way, 0: none
+  uint64_t agent_epoch = 0, sequence = 0;
+  model::FencingToken seen_fencing_token = model::kNoFencingToken;
   bool reported = false;
   double last_heard = 0;   // in whatever way
   double heard_since = 0;  // when it was heard again after a silence
@@ -81,7 +92,7 @@
   // A worker's report; answers it.
   void report(uint64_t request, const std::string& body);
   void routes(const wire::RoutingUpdate& r);
-  void route_here(const ShardId& shard) { routed_.insert(shard); }
+  void route_here(const model::ShardId& shard) { routed_.insert(shard); }
   void
   route_without_leader();  // while nobody routes: what waits, by a rule that all controllers share
   void record_address(const std::string& machine, const std::string& address);
@@ -115,13 +126,14 @@
     enum class Kind { kPlace, kLost, kDone } kind = Kind::kPlace;
     std::string machine;
     uint64_t attempt = 0;
-    int partition = 0;   // whose lease guards it
-    uint64_t basis = 0;  // of a placement: what it was decided on
-    uint64_t lease = 0;  // revision of the partition's lease that it was decided under
+    int partition = 0;                           // whose lease guards it
+    model::Revision basis = model::kNoRevision;  // of a placement: what it was decided on
+    model::Revision lease =
+        model::kNoRevision;  // revision of the partition's lease that it was decided under
     // Of a placement: the machine that reported the attempt before gone, and the lease for that.
     std::string from;
     int from_partition = 0;
-    uint64_t from_lease = 0;
+    model::Revision from_lease = model::kNoRevision;
   };
   // In which order changes go out. Results that complete a job or would be lost first, then
   // decisions and losses by priority; results that complete nothing wait for writes to spare.
@@ -129,7 +141,7 @@
   using Changes = std::map<uint32_t, Change>;  // by the task's place in its shard
   struct ShardWork {
     Changes waiting, sent;
-    uint64_t sent_on = 0;  // revision of the shard that `sent` goes with
+    model::Revision sent_on = model::kNoRevision;  // revision of the shard that `sent` goes with
     bool busy = false;
     std::optional<Rank> queued;
     double since = 0;
@@ -139,14 +151,14 @@
     std::vector<model::TaskState> tasks;
     nlohmann::json value;  // null: the shard is deleted with its job's end
     size_t bytes = 0;      // of the value
-    std::map<std::string, uint64_t> preconditions;
+    std::map<std::string, model::Revision> preconditions;
     bool last = false;
   };
   // A transaction in the making.
   struct Group {
-    std::map<std::string, uint64_t> preconditions;
+    std::map<std::string, model::Revision> preconditions;
     std::vector<store::Write> writes;
-    std::vector<ShardId> shards;
+    std::vector<model::ShardId> shards;
     std::vector<std::string> keys;  // to be read back when the outcome is unknown
     size_t bytes = 0;
     void add(store::Write write, size_t value_bytes);
@@ -187,33 +199,35 @@
   const Change* change_of(const model::TaskRef& task) const;
   static const Change* change_in(const ShardWork& work, uint32_t index);
   bool changing(const model::TaskRef& task) const { return change_of(task) != nullptr; }
-  bool under(int partition, uint64_t lease) const;
-  void resolve(const std::vector<ShardId>& shards);
-  void queue(const ShardId& id, ShardWork& work);
-  void unqueue(const ShardId& id, ShardWork& work);
+  bool under(int partition, model::Revision lease) const;
+  void resolve(const std::vector<model::ShardId>& shards);
+  void queue(const model::ShardId& id, ShardWork& work);
+  void unqueue(const model::ShardId& id, ShardWork& work);
   bool more_to_come(const model::Job& job, uint32_t shard, const ShardWork& work) const;
   static int decision_rank(const model::JobSpec& s);
   bool may_decide(const Candidate& c) const;
-  void drop_change(const ShardId& id, uint32_t index, const Change& c);
-  uint64_t basis(const model::Job& job, int partition) const;
+  void drop_change(const model::ShardId& id, uint32_t index, const Change& c);
+  model::Revision basis(const model::Job& job, int partition) const;
   std::optional<wire::WorkerCommand> command_for_unreported(Worker& w, const model::TaskRef& ref,
                                                             const model::Job& job, bool sure);
   std::optional<wire::WorkerCommand> command_for(Worker& w, const wire::ReportedTask& t,
                                                  const model::Job& job);
   bool apply_change(const model::Job& job, const model::TaskShard& shard, model::TaskState& state,
                     const Change& c) const;
-  bool apply_waiting(const model::Job& job, const ShardId& id, ShardWork& work, ShardWrite& out);
-  Changes::iterator drop_waiting(const model::Job& job, const ShardId& id, ShardWork& work,
+  bool apply_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
+                     ShardWrite& out);
+  Changes::iterator drop_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
                                  Changes::iterator at, std::vector<model::TaskState>& tasks);
-  bool fits_value(const model::Job& job, const ShardId& id, ShardWork& work, ShardWrite& out);
-  void add_preconditions(const model::Job& job, const ShardId& id, const ShardWork& work,
+  bool fits_value(const model::Job& job, const model::ShardId& id, ShardWork& work,
+                  ShardWrite& out);
+  void add_preconditions(const model::Job& job, const model::ShardId& id, const ShardWork& work,
                          ShardWrite& out) const;
-  Added add_to_group(const ShardId& id, Group& group);
+  Added add_to_group(const model::ShardId& id, Group& group);
   void flush_group();
-  void settle(const std::vector<ShardId>& shards, const store::TransactionResult& result,
+  void settle(const std::vector<model::ShardId>& shards, const store::TransactionResult& result,
               std::vector<std::string> keys);
-  void drop_sent(const std::vector<ShardId>& shards);
-  void send_again(const std::vector<ShardId>& shards);
+  void drop_sent(const std::vector<model::ShardId>& shards);
+  void send_again(const std::vector<model::ShardId>& shards);
   double silence_of(const Worker& w) const;
   void probe(Worker& w);
   void suspect(size_t silent, size_t up);
@@ -248,7 +262,7 @@
   std::map<int, double> gang_tasks_left(const model::JobSpec& s);
   void place_gang(const Candidate& c, const std::vector<Worker*>& workers);
   void make_room_for_gang(const model::Job& job, const std::vector<Worker*>& workers);
-  void keep_gang_whole(const model::Job& job, const ShardId& id, ShardWork& work,
+  void keep_gang_whole(const model::Job& job, const model::ShardId& id, ShardWork& work,
                        std::vector<model::TaskState>& tasks);
   double reserve(const model::JobSpec& s, const Room& r) const;
   double due_time(const model::Job& job) const;
@@ -261,10 +275,10 @@
   std::unordered_map<std::string, Worker> workers_;
   std::unordered_map<std::string, std::string> addresses_;
   std::vector<wire::Address> fresh_addresses_;
-  std::map<int, uint64_t> owned_;  // partitions, with the revision of their lease
-  std::map<ShardId, ShardWork> work_;
-  std::set<std::pair<Rank, ShardId>> queue_;
-  std::set<ShardId> routed_;
+  std::map<int, model::Revision> owned_;  // partitions, with the revision of their lease
+  std::map<model::ShardId, ShardWork> work_;
+  std::set<std::pair<Rank, model::ShardId>> queue_;
+  std::set<model::ShardId> routed_;
   uint64_t routed_term_ = 0;
   std::set<std::string> drain_;
   std::map<std::string, ZoneCheck> zone_checks_;
--- a/src/rooksill/placement/gang_plan.cc
+++ b/src/rooksill/placement/gang_plan.cc
@@ -1,9 +1,11 @@
 #include "rooksill/placement/gang_plan.h"
 
 #include <algorithm>
+#include <iterator>
 #include <numeric>
 #include <set>
 #include <tuple>
+#include <utility>
 
 namespace rooksill::placement {
 
--- a/src/rooksill/policy/sizing.cc
+++ b/src/rooksill/policy/sizing.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <limits>
+#include <utility>
 
 namespace rooksill::policy {
 namespace {
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -4,6 +4,9 @@
 #include <cmath>
 #include <limits>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -34,14 +37,14 @@
 
 double QuotaBalancer::tasks_left(const model::JobSpec& spec, int partition) {
   const model::QuotaShare there = left(spec.team, partition);
-  return spec.tasks_in(there.cpus, there.gpus, std::numeric_limits<double>::infinity());
+  return spec.tasks_in({there.cpus, there.gpus, std::numeric_limits<double>::infinity()});
 }
 
 void QuotaBalancer::take(const model::JobSpec& spec, int partition, double tasks) {
   left(spec.team, partition);
   model::QuotaShare& there = left_[{spec.team, partition}];
-  there.cpus = std::max(0.0, there.cpus - tasks * spec.cpus);
-  there.gpus = std::max(0.0, there.gpus - tasks * spec.gpus);
+  there.cpus = std::max(0.0, there.cpus - tasks * spec.request.cpus);
+  there.gpus = std::max(0.0, there.gpus - tasks * spec.request.gpus);
 }
 
 void QuotaBalancer::note(const model::JobSpec& spec, double wanted,
@@ -64,16 +67,16 @@
   if (to < 0) return;
   auto beyond = [&](int b, double tasks) {
     const model::QuotaShare there = left(spec.team, b);
-    return model::QuotaShare{std::max(0.0, there.cpus - tasks * spec.cpus),
-                             std::max(0.0, there.gpus - tasks * spec.gpus)};
+    return model::QuotaShare{std::max(0.0, there.cpus - tasks * spec.request.cpus),
+                             std::max(0.0, there.gpus - tasks * spec.request.gpus)};
   };
   Shortage s;
   s.to = to;
   for (int b = 0; b < partitions; ++b)
     s.spare.push_back(beyond(b, std::min(fits[static_cast<size_t>(b)].within_share, wanted)));
   const model::QuotaShare has = s.spare[static_cast<size_t>(to)];
-  s.missing = {std::max(0.0, unmet(to) * spec.cpus - has.cpus),
-               std::max(0.0, unmet(to) * spec.gpus - has.gpus)};
+  s.missing = {std::max(0.0, unmet(to) * spec.request.cpus - has.cpus),
+               std::max(0.0, unmet(to) * spec.request.gpus - has.gpus)};
   shortages_.emplace(spec.team, std::move(s));
 }
 
@@ -96,8 +99,8 @@
     next = ctx_.now.steady + kPauseReports * ctx_.settings.platform.report_s;
     const model::QuotaShare& spare = s.spare[static_cast<size_t>(from)];
     auto division = replica_.quota_divisions.find(team);
-    const uint64_t revision =
-        division == replica_.quota_divisions.end() ? 0 : division->second.revision;
+    const model::Revision revision =
+        division == replica_.quota_divisions.end() ? model::kNoRevision : division->second.revision;
     out.push_back({team, from, s.to, std::min(spare.cpus, s.missing.cpus),
                    std::min(spare.gpus, s.missing.gpus), revision});
   }
--- a/src/rooksill/quota/quota_balancer.h
+++ b/src/rooksill/quota/quota_balancer.h
@@ -3,8 +3,11 @@
 
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/replica.h"
 #include "rooksill/wire/controller_messages.h"
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -1,7 +1,15 @@
 #include "rooksill/quota/quota_shares.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <limits>
+#include <string>
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/resources.h"
 
 namespace rooksill::quota {
 
@@ -11,9 +19,9 @@
 constexpr double kSmallLimit =
     2;  // largest machines for each partition below which a limit is small
 
-double largest(const store::Replica& replica, double model::MachineType::*amount) {
+double largest(const store::Replica& replica, double model::Resources::*amount) {
   double out = 0;
-  for (const auto& [name, type] : replica.types) out = std::max(out, type.*amount);
+  for (const auto& [name, type] : replica.types) out = std::max(out, type.capacity.*amount);
   return out;
 }
 
@@ -44,12 +52,13 @@
   const int partitions = static_cast<int>(replica.leases.size());
   model::QuotaShare out;
   auto recorded = replica.quota_divisions.find(team);
-  if (recorded != replica.quota_divisions.end() && recorded->second.revision != 0) {
+  if (recorded != replica.quota_divisions.end() &&
+      recorded->second.revision != model::kNoRevision) {
     out = recorded->second.shares[static_cast<size_t>(partition)];
   } else {
-    out.cpus = first_share(limits.cpus_max, largest(replica, &model::MachineType::cpus), team,
+    out.cpus = first_share(limits.cpus_max, largest(replica, &model::Resources::cpus), team,
                            partition, partitions);
-    out.gpus = first_share(limits.gpus_max, largest(replica, &model::MachineType::gpus), team,
+    out.gpus = first_share(limits.gpus_max, largest(replica, &model::Resources::gpus), team,
                            partition, partitions);
   }
   if (limits.cpus_max <= 0) out.cpus = kNoLimit;
@@ -62,7 +71,7 @@
   auto limits = settings.platform.teams.find(team);
   if (limits == settings.platform.teams.end() || limits->second.cpus_max <= 0) return -1;
   const int partitions = static_cast<int>(replica.leases.size());
-  const double machine = largest(replica, &model::MachineType::cpus);
+  const double machine = largest(replica, &model::Resources::cpus);
   if (!is_small(limits->second.cpus_max, machine, partitions)) return -1;
   int home = 0;
   for (int b = 1; b < partitions; ++b)
@@ -83,7 +92,7 @@
   sum += static_cast<uint64_t>(std::max(0.0, wall - job.submitted) / turn_s);
   for (int i = 0; i < partitions; ++i, ++sum) {
     const int partition = static_cast<int>(sum % static_cast<uint64_t>(partitions));
-    if (quota_share(settings, replica, job.spec.team, partition).cpus >= job.spec.cpus)
+    if (quota_share(settings, replica, job.spec.team, partition).cpus >= job.spec.request.cpus)
       return partition;
   }
   return 0;
--- a/src/rooksill/quota/quota_shares.h
+++ b/src/rooksill/quota/quota_shares.h
@@ -1,6 +1,11 @@
 // How a team's limit is divided among the partitions.
 #pragma once
 
+#include <cstdint>
+#include <string>
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
 #include "rooksill/settings/settings.h"
 #include "rooksill/store/replica.h"
 
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -2,7 +2,12 @@
 
 #include <algorithm>
 #include <cmath>
+#include <iterator>
+#include <utility>
+#include <vector>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -15,9 +20,9 @@
 
 }  // namespace
 
-uint64_t QuotaTransfers::revision_of(const std::string& team) const {
+model::Revision QuotaTransfers::revision_of(const std::string& team) const {
   auto known = replica_.quota_divisions.find(team);
-  return known == replica_.quota_divisions.end() ? 0 : known->second.revision;
+  return known == replica_.quota_divisions.end() ? model::kNoRevision : known->second.revision;
 }
 
 model::QuotaShare QuotaTransfers::leaving(const std::string& team, int partition) const {
--- a/src/rooksill/quota/quota_transfers.h
+++ b/src/rooksill/quota/quota_transfers.h
@@ -1,10 +1,13 @@
 // Transfers of a team's limit from a partition held here to another partition.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <string>
 
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
 #include "rooksill/store/replica.h"
@@ -20,7 +23,7 @@
 class QuotaTransfers {
  public:
   // Whether this process holds a partition under the lease with that revision.
-  using OwnsPartition = std::function<bool(int partition, uint64_t lease)>;
+  using OwnsPartition = std::function<bool(int partition, model::Revision lease)>;
 
   QuotaTransfers(runtime::Context& ctx, store::Replica& replica, store::Committer& committer)
       : ctx_(ctx), replica_(replica), committer_(committer) {}
@@ -36,13 +39,14 @@
   struct Pending {
     int from = 0, to = 0;
     model::QuotaShare amount;
-    uint64_t revision = 0, lease = 0;  // that the transaction guards
-    bool busy = false;                 // sent, or being read back
-    bool uncertain = false;            // a transaction without an answer may yet be carried out
+    model::Revision revision = model::kNoRevision;
+    model::Revision lease = model::kNoRevision;  // that the transaction guards
+    bool busy = false;                           // sent, or being read back
+    bool uncertain = false;  // a transaction without an answer may yet be carried out
   };
   void send(const std::string& team, Pending& pending);
   void settle(const std::string& team, const store::TransactionResult& result);
-  uint64_t revision_of(const std::string& team) const;
+  model::Revision revision_of(const std::string& team) const;
 
   runtime::Context& ctx_;
   store::Replica& replica_;
--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -3,10 +3,12 @@
 
 #include <fmt/format.h>
 
+#include <cstdint>
 #include <map>
 #include <random>
 #include <string>
 #include <unordered_map>
+#include <utility>
 
 #include "rooksill/runtime/effects.h"
 #include "rooksill/settings/settings.h"
--- a/src/rooksill/settings/operators.cc
+++ b/src/rooksill/settings/operators.cc
@@ -1,4 +1,5 @@
 #include <nlohmann/json.hpp>
+#include <string>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
 #include <valijson/schema_parser.hpp>
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -3,6 +3,8 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
+#include <string>
+#include <vector>
 
 #include "rooksill/settings/settings.h"
 
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -1,6 +1,7 @@
 #include "rooksill/store/client.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace rooksill::store {
 
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "rooksill/model/identifiers.h"
 #include "rooksill/runtime/effects.h"
 #include "rooksill/settings/settings.h"
 
@@ -18,7 +19,7 @@
 
 struct Precondition {
   std::string key;
-  uint64_t revision = 0;
+  model::Revision revision = model::kNoRevision;
 };
 
 struct Write {
@@ -38,13 +39,13 @@
 
 struct TransactionResult {
   TransactionOutcome outcome = TransactionOutcome::kUnknown;
-  uint64_t revision = 0;
+  model::Revision revision = model::kNoRevision;
   std::vector<std::string> failed;
 };
 
 struct ReadResult {
   bool answered = false, found = false;
-  uint64_t revision = 0;
+  model::Revision revision = model::kNoRevision;
   nlohmann::json value;
 };
 
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -1,6 +1,13 @@
 // Transactions whose result goes straight into the replica and out to the other controllers.
 #pragma once
 
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/client.h"
 #include "rooksill/store/replica.h"
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -1,6 +1,14 @@
 #include "rooksill/store/replica.h"
 
+#include <algorithm>
 #include <charconv>
+#include <utility>
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/value_sizes.h"
 
 namespace rooksill::store {
 
@@ -87,7 +95,7 @@
   return j;
 }
 
-bool Replica::apply(const std::string& key, const nlohmann::json& value, uint64_t revision) {
+bool Replica::apply(const std::string& key, const nlohmann::json& value, model::Revision revision) {
   if (key.compare(0, wire::kPrefix.size(), wire::kPrefix) != 0) return false;
   const std::string rest = key.substr(wire::kPrefix.size());
   if (rest == "lead") {
@@ -193,7 +201,7 @@
   }
 }
 
-void Replica::apply_job(const std::string& id, model::Job fresh, uint64_t revision) {
+void Replica::apply_job(const std::string& id, model::Job fresh, model::Revision revision) {
   auto it = jobs.find(id);
   if (it == jobs.end()) {
     const model::JobEnd end =
@@ -268,10 +276,10 @@
   MachineLoad& l = loads_[machine];
   touched_machines.insert(machine);
   if (!l.tasks.insert(ref).second) return;
-  l.cpus += job.spec.cpus;
-  l.gpus += job.spec.gpus;
-  l.memory += job.spec.memory_gb;
-  if (job.spec.shape == model::Shape::kService) l.replica_cpus += job.spec.cpus;
+  l.used.cpus += job.spec.request.cpus;
+  l.used.gpus += job.spec.request.gpus;
+  l.used.memory_gb += job.spec.request.memory_gb;
+  if (job.spec.shape == model::Shape::kService) l.replica_cpus += job.spec.request.cpus;
 }
 
 void Replica::take_off(const model::Job& job, const model::TaskRef& ref,
@@ -284,14 +292,14 @@
     loads_.erase(it);
     return;
   }
-  l.cpus -= job.spec.cpus;
-  l.gpus -= job.spec.gpus;
-  l.memory -= job.spec.memory_gb;
-  if (job.spec.shape == model::Shape::kService) l.replica_cpus -= job.spec.cpus;
+  l.used.cpus -= job.spec.request.cpus;
+  l.used.gpus -= job.spec.request.gpus;
+  l.used.memory_gb -= job.spec.request.memory_gb;
+  if (job.spec.shape == model::Shape::kService) l.replica_cpus -= job.spec.request.cpus;
 }
 
 void Replica::apply_shard(model::Job& j, uint32_t index_of, std::vector<model::TaskState> tasks,
-                          uint64_t revision) {
+                          model::Revision revision) {
   model::TaskShard& c = j.shards[index_of];
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     const model::TaskState& was = c.tasks[i];
@@ -318,7 +326,7 @@
 
 void Replica::apply_machines(int partition, int page,
                              const std::map<std::string, model::Machine>& fresh,
-                             uint64_t revision) {
+                             model::Revision revision) {
   MachinePage& p = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
   p.revision = revision;
   std::vector<std::string> changed;
@@ -389,7 +397,7 @@
   }
 }
 
-void Replica::remove(const std::string& key, uint64_t revision) {
+void Replica::remove(const std::string& key, model::Revision revision) {
   if (key == wire::kLeaderKey) return forget_leader(revision);
   const std::string prefix = wire::kPrefix + "t/";
   if (key.compare(0, prefix.size(), prefix) != 0) return;
@@ -405,7 +413,7 @@
   apply_shard(*j, index_of, std::move(tasks), revision);
 }
 
-void Replica::forget_leader(uint64_t revision) {
+void Replica::forget_leader(model::Revision revision) {
   if (revision > leader.revision) leader = model::Leadership{};
 }
 
--- a/src/rooksill/store/replica.h
+++ b/src/rooksill/store/replica.h
@@ -1,13 +1,20 @@
 // Each controller's copy of the store, kept by listing, watching and peers' updates.
 #pragma once
 
+#include <cstdint>
+#include <map>
 #include <nlohmann/json.hpp>
+#include <set>
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
 #include <vector>
 
-#include "rooksill/model/model.h"
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/resources.h"
 #include "rooksill/settings/settings.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -22,13 +29,13 @@
 // What the state says is on a machine, kept up with each change.
 struct MachineLoad {
   std::set<model::TaskRef> tasks;
-  double cpus = 0, gpus = 0, memory = 0;
+  model::Resources used;
   double replica_cpus = 0;  // of services
 };
 
 // One value of the list of a partition's machines.
 struct MachinePage {
-  uint64_t revision = 0;
+  model::Revision revision = model::kNoRevision;
   std::set<std::string> names;
 };
 
@@ -37,9 +44,9 @@
   explicit Replica(const PlatformSettings& settings);
 
   // Takes a value if it is newer than what is known. False if nothing changed.
-  bool apply(const std::string& key, const nlohmann::json& value, uint64_t revision);
-  void remove(const std::string& key, uint64_t revision);
-  void forget_leader(uint64_t revision);
+  bool apply(const std::string& key, const nlohmann::json& value, model::Revision revision);
+  void remove(const std::string& key, model::Revision revision);
+  void forget_leader(model::Revision revision);
   // Another controller has learned that the job is cancelled. Its record comes later.
   void record_cancelled(const std::string& id);
 
@@ -83,11 +90,12 @@
   std::map<std::string, model::LivenessRecord> liveness_records;  // by controller
   std::map<std::string, model::VersionRecord> versions;           // by controller
   model::UpgradeRecord upgrade;
-  uint64_t term = 0, term_revision = 0;
+  uint64_t term = 0;
+  model::Revision term_revision = model::kNoRevision;
   std::set<std::string> open_jobs;
-  std::set<std::string> waiting_jobs;   // open, with tasks on no machine
-  std::set<std::string> finished_jobs;  // open, with all tasks done
-  uint64_t synced_revision = 0;         // everything up to here is known
+  std::set<std::string> waiting_jobs;                    // open, with tasks on no machine
+  std::set<std::string> finished_jobs;                   // open, with all tasks done
+  model::Revision synced_revision = model::kNoRevision;  // everything up to here is known
   bool synced = false;
   double synced_at = -1e9;  // what the store had at this moment is known, by our clock
 
@@ -101,13 +109,13 @@
   void count(model::Job& job, model::TaskShard& shard);
   void index(const model::Job& job);
   void recount(const std::string& machine);
-  void apply_job(const std::string& id, model::Job fresh, uint64_t revision);
+  void apply_job(const std::string& id, model::Job fresh, model::Revision revision);
   void record_end(model::Job& job, model::JobEnd end);
   void touch(const model::Job& job);
   void apply_shard(model::Job& job, uint32_t index, std::vector<model::TaskState> tasks,
-                   uint64_t revision);
+                   model::Revision revision);
   void apply_machines(int partition, int page, const std::map<std::string, model::Machine>& fresh,
-                      uint64_t revision);
+                      model::Revision revision);
   void put_on(const model::Job& job, const model::TaskRef& ref, const std::string& machine);
   void take_off(const model::Job& job, const model::TaskRef& ref, const std::string& machine);
   model::Job* find_shard(const std::string& name, uint32_t& index);
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -1,6 +1,9 @@
 #include "rooksill/store/replica_sync.h"
 
 #include <algorithm>
+#include <cstdint>
+
+#include "rooksill/model/identifiers.h"
 
 namespace rooksill::store {
 
@@ -55,7 +58,7 @@
     if (!item.is_object() || !item.contains("k") || !item.contains("v")) continue;
     last = item.value("k", "");
     if (last == wire::kLeaderKey) leader_seen_ = true;
-    replica_.apply(last, item["v"], item.value("stamp", uint64_t{0}));
+    replica_.apply(last, item["v"], item.value("stamp", model::kNoRevision));
   }
   if (j.value("truncated", false) && !last.empty()) {
     list(last);
@@ -63,11 +66,12 @@
     return;
   }
   // A leader's key that is in no page has gone. A leader elected since is above this revision.
-  if (!leader_seen_) replica_.forget_leader(revision_ + 1);
+  if (!leader_seen_) replica_.forget_leader(model::next(revision_));
   listed_ = true;
   replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   if (!replica_.synced)
-    ctx_.info("state", "replica loaded: {} jobs, epoch {}", replica_.jobs.size(), revision_);
+    ctx_.info("state", "replica loaded: {} jobs, epoch {}", replica_.jobs.size(),
+              model::number(revision_));
   replica_.synced = true;
   watch();
 }
@@ -77,7 +81,8 @@
   const double hold =
       replica_.synced_at < ctx_.resumed_at ? 0 : kWatchReports * ctx_.settings.platform.report_s;
   asked_ = ctx_.now.steady;
-  const std::string path = "/watch?starts=" + wire::kPrefix + "&from=" + std::to_string(revision_) +
+  const std::string path = "/watch?starts=" + wire::kPrefix +
+                           "&from=" + std::to_string(model::number(revision_)) +
                            "&hold_ms=" + std::to_string(static_cast<int>(hold * 1000));
   busy_ = client_.raw("GET", path, "", hold + kWatchPatience,
                       [this](const runtime::CallDone& d) { on_watch(d); });
@@ -99,14 +104,14 @@
   if (j.contains("news") && j["news"].is_array()) {
     for (const auto& e : j["news"]) {
       if (!e.is_object()) continue;
-      const uint64_t revision = e.value("stamp", uint64_t{0});
+      const model::Revision revision = e.value("stamp", model::kNoRevision);
       if (e.contains("put") && e["put"].is_string() && e.contains("v"))
         replica_.apply(e["put"].get<std::string>(), e["v"], revision);
       else if (e.contains("delete") && e["delete"].is_string())
         replica_.remove(e["delete"].get<std::string>(), revision);
     }
   }
-  revision_ = std::max(revision_, j["epoch"].get<uint64_t>());
+  revision_ = std::max(revision_, j["epoch"].get<model::Revision>());
   replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   replica_.synced_at = asked_;
   next_ = ctx_.now.steady + pause();
--- a/src/rooksill/store/replica_sync.h
+++ b/src/rooksill/store/replica_sync.h
@@ -1,6 +1,9 @@
 // Fills the replica from the store: all pages once, then the watch.
 #pragma once
 
+#include <string>
+
+#include "rooksill/model/identifiers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/client.h"
 #include "rooksill/store/replica.h"
@@ -24,7 +27,7 @@
   Replica& replica_;
   Client& client_;
   bool listed_ = false, busy_ = false, leader_seen_ = false;
-  uint64_t revision_ = 0;
+  model::Revision revision_ = model::kNoRevision;
   double next_ = 0, asked_ = 0;
 };
 
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -1,6 +1,9 @@
 #include "rooksill/wire/cloud_codec.h"
 
 #include <nlohmann/json.hpp>
+#include <utility>
+
+#include "rooksill/model/machine.h"
 
 namespace rooksill::wire {
 
@@ -13,9 +16,9 @@
   for (const auto& b : j.at("builds")) {
     model::MachineType t;
     t.name = b.at("label").get<std::string>();
-    t.cpus = b.at("cores").get<double>();
-    t.gpus = b.value("gpus", 0.0);
-    t.memory_gb = b.at("memory_gb").get<double>();
+    t.capacity.cpus = b.at("cores").get<double>();
+    t.capacity.gpus = b.value("gpus", 0.0);
+    t.capacity.memory_gb = b.at("memory_gb").get<double>();
     t.cache_gb = b.value("local_gb", 0.0);
     t.fetch_gb_per_s = b.value("pull_gb_per_s", 1.0);
     t.price = b.at("hourly").get<double>();
--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/model/model.h"
+#include "rooksill/model/machine.h"
 
 namespace rooksill::wire {
 
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -3,11 +3,16 @@
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <msgpack.hpp>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
+#include "rooksill/model/identifiers.h"
+
+MSGPACK_ADD_ENUM(rooksill::model::Revision)
+
 namespace rooksill::wire {
 
 enum class PeerKind : int {
@@ -79,7 +84,7 @@
 
 struct Update {
   std::string key, value;  // no value: deleted
-  uint64_t revision = 0;
+  model::Revision revision = model::kNoRevision;
   MSGPACK_DEFINE_ARRAY(key, value, revision)
 };
 
@@ -114,7 +119,8 @@
   std::string team;
   int from = 0, to = 0;
   double cpus = 0, gpus = 0;
-  uint64_t revision = 0;  // revision of the division that this was decided on
+  model::Revision revision =
+      model::kNoRevision;  // revision of the division that this was decided on
   MSGPACK_DEFINE_ARRAY(team, from, to, cpus, gpus, revision)
 };
 
--- a/src/rooksill/wire/store_codec.cc
+++ b/src/rooksill/wire/store_codec.cc
@@ -5,6 +5,12 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 #include <tuple>
+#include <utility>
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/model/value_sizes.h"
 
 namespace rooksill::wire {
 
@@ -41,9 +47,9 @@
               {"sh", int(s.shape)},
               {"pr", int(s.priority)},
               {"n", s.tasks},
-              {"c", s.cpus},
-              {"g", s.gpus},
-              {"m", s.memory_gb},
+              {"c", s.request.cpus},
+              {"g", s.request.gpus},
+              {"m", s.request.memory_gb},
               {"im", s.image},
               {"ig", s.image_gb},
               {"ty", s.types},
@@ -64,9 +70,9 @@
   s.shape = static_cast<model::Shape>(v.at("sh").get<int>());
   s.priority = static_cast<model::Priority>(v.at("pr").get<int>());
   s.tasks = v.at("n");
-  s.cpus = v.at("c");
-  s.gpus = v.at("g");
-  s.memory_gb = v.at("m");
+  s.request.cpus = v.at("c");
+  s.request.gpus = v.at("g");
+  s.request.memory_gb = v.at("m");
   s.image = v.at("im");
   s.image_gb = v.at("ig");
   s.types = v.at("ty").get<std::vector<std::string>>();
@@ -252,16 +258,18 @@
 }
 
 json encode_type(const model::MachineType& t) {
-  return json{{"n", t.name},     {"c", t.cpus},           {"g", t.gpus},  {"m", t.memory_gb},
-              {"k", t.cache_gb}, {"f", t.fetch_gb_per_s}, {"p", t.price}, {"s", t.spot_price},
-              {"b", t.boot_s},   {"z", t.zones}};
+  return json{{"n", t.name},          {"c", t.capacity.cpus},
+              {"g", t.capacity.gpus}, {"m", t.capacity.memory_gb},
+              {"k", t.cache_gb},      {"f", t.fetch_gb_per_s},
+              {"p", t.price},         {"s", t.spot_price},
+              {"b", t.boot_s},        {"z", t.zones}};
 }
 
 bool decode_type(const json& v, model::MachineType& t) try {
   t.name = v.at("n");
-  t.cpus = v.at("c");
-  t.gpus = v.at("g");
-  t.memory_gb = v.at("m");
+  t.capacity.cpus = v.at("c");
+  t.capacity.gpus = v.at("g");
+  t.capacity.memory_gb = v.at("m");
   t.cache_gb = v.at("k");
   t.fetch_gb_per_s = v.at("f");
   t.price = v.at("p");
--- a/src/rooksill/wire/store_codec.h
+++ b/src/rooksill/wire/store_codec.h
@@ -1,11 +1,16 @@
 // The service's own records in the store.
 #pragma once
 
+#include <cstdint>
+#include <map>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
+#include <vector>
 
-#include "rooksill/model/model.h"
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 
 namespace rooksill::wire {
 
--- a/src/rooksill/wire/user_codec.cc
+++ b/src/rooksill/wire/user_codec.cc
@@ -1,8 +1,10 @@
 #include "rooksill/wire/user_codec.h"
 
 #include <cmath>
+#include <cstdint>
 #include <nlohmann/json.hpp>
 
+#include "rooksill/model/job.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::wire {
@@ -92,9 +94,9 @@
       pieces.get<uint64_t>() > kMaxTasks)
     throw Bad{"pieces"};
   s.tasks = pieces.get<uint32_t>();
-  s.cpus = amount(j, "cores");
-  s.gpus = amount(j, "gpus");
-  s.memory_gb = amount(j, "memory_gb");
+  s.request.cpus = amount(j, "cores");
+  s.request.gpus = amount(j, "gpus");
+  s.request.memory_gb = amount(j, "memory_gb");
   s.image = text(j, "bundle");
   s.image_gb = amount(j, "size_gb");
   if (const json* types = find(j, "builds")) {
--- a/src/rooksill/wire/user_codec.h
+++ b/src/rooksill/wire/user_codec.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "rooksill/model/model.h"
+#include "rooksill/model/job.h"
 
 namespace rooksill::wire {
 
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -1,7 +1,10 @@
 #include "rooksill/wire/worker_codec.h"
 
+#include <cstdint>
 #include <nlohmann/json.hpp>
+#include <utility>
 
+#include "rooksill/model/identifiers.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::wire {
@@ -64,7 +67,7 @@
   r.spot = j.at("loaners").get<bool>();
   r.agent_epoch = j.at("tenure").get<uint64_t>();
   r.sequence = j.at("tally").get<uint64_t>();
-  r.fencing_token = j.at("baton").get<uint64_t>();
+  r.fencing_token = model::FencingToken{j.at("baton").get<uint64_t>()};
   auto notice = j.find("warning_s");
   if (notice != j.end() && !notice->is_null()) r.termination_notice_s = notice->get<double>();
   for (const auto& p : j.at("pieces")) {
@@ -84,11 +87,12 @@
   return std::nullopt;
 }
 
-std::string encode_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands) {
+std::string encode_answer(model::FencingToken fencing_token,
+                          const std::vector<WorkerCommand>& commands) {
   return json{{"baton", fencing_token}, {"orders", encode_command_list(commands)}}.dump();
 }
 
-std::string encode_commands(uint64_t fencing_token, uint64_t agent_epoch,
+std::string encode_commands(model::FencingToken fencing_token, uint64_t agent_epoch,
                             const std::vector<WorkerCommand>& commands) {
   return json{
       {"baton", fencing_token}, {"tenure", agent_epoch}, {"orders", encode_command_list(commands)}}
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -1,11 +1,13 @@
 // The wire between controllers and workers.
 #pragma once
 
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "rooksill/model/model.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/job.h"
 
 namespace rooksill::wire {
 
@@ -34,7 +36,8 @@
 struct WorkerHeartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
+  uint64_t agent_epoch = 0, sequence = 0;
+  model::FencingToken fencing_token = model::kNoFencingToken;
   std::optional<double> termination_notice_s;
   std::vector<ReportedTask> tasks;
 };
@@ -47,8 +50,9 @@
 };
 
 std::optional<WorkerHeartbeat> parse_heartbeat(const std::string& body);
-std::string encode_answer(uint64_t fencing_token, const std::vector<WorkerCommand>& commands);
-std::string encode_commands(uint64_t fencing_token, uint64_t agent_epoch,
+std::string encode_answer(model::FencingToken fencing_token,
+                          const std::vector<WorkerCommand>& commands);
+std::string encode_commands(model::FencingToken fencing_token, uint64_t agent_epoch,
                             const std::vector<WorkerCommand>& commands);
 std::string encode_redirect(const std::string& label);
 
--- a/tests/runner/codecs.cc
+++ b/tests/runner/codecs.cc
@@ -2,6 +2,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "rooksill/model/job.h"
 #include "rooksill/net/http_parser.h"
 #include "rooksill/wire/cloud_codec.h"
 #include "rooksill/wire/controller_messages.h"
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -1,3 +1,6 @@
+#include "rooksill/model/coordination.h"
+#include "rooksill/model/job.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/wire/controller_messages.h"
 #include "rooksill/wire/store_codec.h"
 #include "runner/kinds.h"
--- a/tests/runner/replica.cc
+++ b/tests/runner/replica.cc
@@ -2,6 +2,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "rooksill/model/identifiers.h"
+#include "rooksill/model/machine.h"
 #include "rooksill/wire/store_codec.h"
 #include "runner/kinds.h"
 
@@ -26,7 +28,8 @@
       const auto key =
           rooksill::wire::machines_key(std::stoi(line.word(1)), std::stoi(line.word(2)));
       const auto revision = std::stoull(line.word(3));
-      const bool taken = replica.apply(key, rooksill::wire::encode_machines(machines), revision);
+      const bool taken = replica.apply(key, rooksill::wire::encode_machines(machines),
+                                       rooksill::model::Revision{revision});
       if (taken != (line.get("taken", 1) != 0)) fail(line, taken ? "taken" : "not taken");
     } else if (verb == "on") {
       const rooksill::model::Machine* machine = replica.machine(line.word(1));
