--- /dev/null
+++ b/src/rooksill/changes/owned_partitions.h
@@ -0,0 +1,40 @@
+// The partitions that this process owns.
+#pragma once
+
+#include <map>
+#include <vector>
+
+#include "rooksill/model/identifiers.h"
+#include "rooksill/store/replica.h"
+
+namespace rooksill::changes {
+
+// Partitions that this process acquired and has not released, each with the revision of the lease
+// that it was acquired under. A partition whose lease has changed since is still listed, but not
+// owned any more: one that went to another owner and came back within a batch is not the one that
+// was acquired.
+class OwnedPartitions {
+ public:
+  explicit OwnedPartitions(const store::Replica& replica) : replica_(replica) {}
+
+  // Acquires a partition under the lease that the replica has of it now.
+  void acquire(int partition);
+  void release(int partition) { leases_.erase(partition); }
+
+  // Acquired and not released, whatever became of its lease.
+  bool acquired(int partition) const { return leases_.count(partition) != 0; }
+  // Whether the lease that the partition was acquired under is still the present one.
+  bool owns(int partition) const;
+  // Whether the partition is owned under the lease with this revision.
+  bool owns_under(int partition, model::Revision lease) const;
+
+  bool empty() const { return leases_.empty(); }
+  // The partitions acquired, in ascending order.
+  std::vector<int> list() const;
+
+ private:
+  const store::Replica& replica_;
+  std::map<int, model::Revision> leases_;  // by partition
+};
+
+}  // namespace rooksill::changes
--- a/src/rooksill/partition/owner_gang_placement.cc
+++ b/src/rooksill/partition/owner_gang_placement.cc
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/changes/task_change.h"
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/job.h"
 #include "rooksill/partition/partition_owner.h"
@@ -19,6 +20,8 @@
 
 namespace rooksill::partition {
 
+using changes::TaskChange;
+
 namespace {
 constexpr double kSlack = 1e-9;  // sums of fractions
 // A gang that waits longer than so many reports keeps what comes free from work of lower rank.
@@ -36,8 +39,8 @@
       if (t.machine.empty()) return true;
       if (replica_.machine_gone(t.machine) && replica_.lists_cover(shard)) return true;
       if (work == work_.end()) continue;
-      const Change* change = change_in(work->second, i);
-      if (change != nullptr && change->kind == Change::Kind::kLost) return true;
+      const TaskChange* change = change_in(work->second, i);
+      if (change != nullptr && change->kind == TaskChange::Kind::kLost) return true;
     }
   }
   return false;
@@ -66,10 +69,10 @@
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& t = shard.tasks[i];
     last = std::max(last, t.attempt);
-    const Change* change = own == work_.end() ? nullptr : change_in(own->second, i);
+    const TaskChange* change = own == work_.end() ? nullptr : change_in(own->second, i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
-      if (change->kind != Change::Kind::kLost || own->second.busy) return std::nullopt;
+      if (change->kind != TaskChange::Kind::kLost || own->second.busy) return std::nullopt;
     } else if (!replica_.waits(t) || (!t.machine.empty() && !replica_.lists_cover(shard))) {
       return std::nullopt;
     }
@@ -98,7 +101,7 @@
 
 std::map<int, double> PartitionOwner::gang_tasks_left(const model::JobSpec& s) {
   std::map<int, double> out;
-  for (const auto& [partition, revision] : owned_) {
+  for (const int partition : owned_.list()) {
     const auto& used = quota_use_[{partition, s.team}];
     const model::QuotaShare& share = team_quota(s.team, partition);
     const double left = s.tasks_in({share.cpus - used.first, share.gpus - used.second,
@@ -124,8 +127,7 @@
     Worker& w = *workers[place.option];
     for (uint32_t k = 0; k < place.tasks; ++k) {
       const model::TaskRef ref{s.id, next++};
-      change(ref, {Change::Kind::kPlace, w.name, *attempt, w.room.partition,
-                   basis(job, w.room.partition)});
+      change(ref, TaskChange::placed(w.name, w.room.partition, *attempt));
     }
     ctx_.debug("placer", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}", place.tasks,
                s.id, *attempt, w.name, ctx_.now.wall - job.submitted,
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -9,6 +9,7 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/changes/task_change.h"
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
@@ -18,6 +19,8 @@
 
 namespace rooksill::partition {
 
+using changes::TaskChange;
+
 namespace {
 // Part of an ordinary machine that work which may use cheap machines leaves to work which may not.
 constexpr double kOrdinaryReserve = 0.1;
@@ -436,10 +439,10 @@
   const ShardWork* pending = own == work_.end() ? nullptr : &own->second;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& t = shard.tasks[i];
-    const Change* change = pending == nullptr ? nullptr : change_in(*pending, i);
+    const TaskChange* change = pending == nullptr ? nullptr : change_in(*pending, i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == Change::Kind::kLost && !pending->busy) todo.push_back(i);
+      if (change->kind == TaskChange::Kind::kLost && !pending->busy) todo.push_back(i);
     } else if (replica_.waits(t) && (t.machine.empty() || replica_.lists_cover(shard))) {
       todo.push_back(i);
     }
@@ -460,9 +463,9 @@
       for (uint32_t i = 0; i < tasks.size(); ++i) {
         if (tasks[i].machine.empty()) continue;
         // What has ended there is there no more, though that is not written yet.
-        auto ended = [&](const std::map<uint32_t, Change>& changes) {
+        auto ended = [&](const std::map<uint32_t, TaskChange>& changes) {
           auto it = changes.find(i);
-          return it != changes.end() && it->second.kind == Change::Kind::kLost;
+          return it != changes.end() && it->second.kind == TaskChange::Kind::kLost;
         };
         if (work != work_.end() && ended(work->second.waiting)) continue;
         // A machine that is in no list here may have been dealt since the lists were known, and its
@@ -473,7 +476,7 @@
       if (work == work_.end()) continue;
       for (const auto* changes : {&work->second.waiting, &work->second.sent})
         for (const auto& [i, change] : *changes)
-          if (change.kind == Change::Kind::kPlace) count(change.machine);
+          if (change.kind == TaskChange::Kind::kPlaced) count(change.machine.name);
     }
     if (s.one_zone && only_zone.empty()) {
       // All of them must come to fit: take the zone with the most room for this job.
@@ -521,8 +524,7 @@
       const uint32_t i = todo[next++];
       const uint64_t attempt = shard.tasks[i].attempt + 1;
       const model::TaskRef ref{s.id, c.shard * job.tasks_per_shard + i};
-      change(ref, {Change::Kind::kPlace, w->name, attempt, w->room.partition,
-                   basis(job, w->room.partition)});
+      change(ref, TaskChange::placed(w->name, w->room.partition, attempt));
       ctx_.debug("placer", "task {} attempt {} goes to {} after {:.2f} s{}", wire::task_name(ref),
                  attempt, w->name, ctx_.now.wall - job.submitted,
                  w->has_image(job.image) ? "" : ", image not there");
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -14,6 +14,8 @@
 
 namespace rooksill::partition {
 
+using changes::TaskChange;
+
 namespace {
 constexpr int kMaxInFlight = 2;
 constexpr double kBackoff = 0.15;   // after the state refused
@@ -53,15 +55,9 @@
       client_(client),
       committer_(committer),
       cancellations_(cancellations),
+      owned_(replica),
       transfers_(ctx, replica, committer) {}
 
-// A partition that went to another and came back within a batch is not the one that was held.
-bool PartitionOwner::owns(int partition) const {
-  auto it = owned_.find(partition);
-  return it != owned_.end() &&
-         it->second == replica_.leases[static_cast<size_t>(partition)].revision;
-}
-
 bool PartitionOwner::backing_off(const std::string& job) const {
   auto it = troubles_.find(job);
   return it != troubles_.end() && it->second.retry_at > ctx_.now.steady;
@@ -84,7 +80,7 @@
 
 void PartitionOwner::activate(int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
-  owned_[partition] = lease.revision;
+  owned_.acquire(partition);
   ctx_.info("holder", "partition {} taken, token {}", partition,
             model::number(lease.fencing_token));
   drop_workers(partition);
@@ -112,9 +108,9 @@
     // here before a worker's tasks are judged.
     if (mine && !owns(b) && replica_.synced_revision >= lease.revision) {
       activate(b);
-    } else if (owned_.count(b) != 0 && !owns(b)) {
+    } else if (owned_.acquired(b) && !owns(b)) {
       ctx_.info("holder", "block {} given up, now with {}", b, lease.owner);
-      owned_.erase(b);
+      owned_.release(b);
       drop_workers(b);
     }
   }
@@ -479,7 +475,7 @@
       if (t.cause == wire::ExitCause::kDone) {
         w.failures = 0;
         w.failed_jobs.clear();
-        change(t.task, {Change::Kind::kDone, w.name, t.attempt, w.partition});
+        change(t.task, TaskChange::done(w.name, w.partition, t.attempt));
       } else if (sure) {
         lost(w, t);
       }
@@ -535,7 +531,7 @@
   if (!lost) return wire::WorkerCommand{wire::WorkerCommand::Op::kStart, ref, attempt, 0};
   if (!sure) return std::nullopt;
   w.running_since.erase(ref);
-  change(ref, {Change::Kind::kLost, w.name, attempt, w.partition});
+  change(ref, TaskChange::lost(w.name, w.partition, attempt));
   return std::nullopt;
 }
 
@@ -562,7 +558,7 @@
     w.avoid_until = ctx_.now.steady + ctx_.settings.platform.report_s / 3;
   }
   w.running_since.erase(t.task);
-  change(t.task, {Change::Kind::kLost, w.name, t.attempt, w.partition});
+  change(t.task, TaskChange::lost(w.name, w.partition, t.attempt));
 }
 
 // A machine on which task after task fails is returned; a job that fails on machine after machine
@@ -597,7 +593,7 @@
 
 // ---- changes of state ----------------------------------------------------------------------
 
-const PartitionOwner::Change* PartitionOwner::change_of(const model::TaskRef& task) const {
+const TaskChange* PartitionOwner::change_of(const model::TaskRef& task) const {
   const model::Job* job = replica_.job(task.job);
   if (job == nullptr) return nullptr;
   auto it = work_.find({task.job, task.index / job->tasks_per_shard});
@@ -605,32 +601,31 @@
   return change_in(it->second, task.index % job->tasks_per_shard);
 }
 
-const PartitionOwner::Change* PartitionOwner::change_in(const ShardWork& work, uint32_t index) {
+const TaskChange* PartitionOwner::change_in(const ShardWork& work, uint32_t index) {
   for (const auto* changes : {&work.sent, &work.waiting})
     if (auto c = changes->find(index); c != changes->end()) return &c->second;
   return nullptr;
 }
 
-void PartitionOwner::change(const model::TaskRef& task, Change c) {
+void PartitionOwner::change(const model::TaskRef& task, TaskChange c) {
   const model::Job* job = replica_.job(task.job);
   if (job == nullptr) return;
-  auto w = workers_.find(c.machine);
+  auto w = workers_.find(c.machine.name);
   if (w != workers_.end()) {
     w->second.room_stale = w->second.status_changed = true;
-    if (c.kind == Change::Kind::kPlace) w->second.placing.insert(task);
+    if (c.kind == TaskChange::Kind::kPlaced) w->second.placing.insert(task);
   }
-  c.lease = replica_.leases[static_cast<size_t>(c.partition)].revision;
+  c.machine.lease = replica_.leases[static_cast<size_t>(c.machine.partition)].revision;
+  if (c.kind == TaskChange::Kind::kPlaced) c.basis = basis(*job, c.machine.partition);
   const model::ShardId id{task.job, task.index / job->tasks_per_shard};
   ShardWork& work = work_[id];
   if (work.waiting.empty()) work.since = ctx_.now.steady;
   const uint32_t index = task.index % job->tasks_per_shard;
   // A task that has ended somewhere and found another place already: one change says both.
   auto before = work.waiting.find(index);
-  if (c.kind == Change::Kind::kPlace && before != work.waiting.end() &&
-      before->second.kind == Change::Kind::kLost) {
-    c.from = before->second.machine;
-    c.from_partition = before->second.partition;
-    c.from_lease = before->second.lease;
+  if (c.kind == TaskChange::Kind::kPlaced && before != work.waiting.end() &&
+      before->second.kind == TaskChange::Kind::kLost) {
+    c.replaces = before->second.machine;
     work.waiting.erase(before);
   }
   work.waiting.insert({index, std::move(c)});
@@ -638,8 +633,8 @@
 }
 
 // A change that is not to be written any more, or has been.
-void PartitionOwner::drop_change(const model::ShardId& id, uint32_t index, const Change& c) {
-  auto w = workers_.find(c.machine);
+void PartitionOwner::drop_change(const model::ShardId& id, uint32_t index, const TaskChange& c) {
+  auto w = workers_.find(c.machine.name);
   if (w == workers_.end()) return;
   const model::Job* job = replica_.job(id.job);
   if (job != nullptr) w->second.placing.erase({id.job, id.index * job->tasks_per_shard + index});
@@ -691,11 +686,11 @@
   uint32_t done = job->done;
   bool decided = false, leaving = false;
   for (const auto& [i, c] : work.waiting) {
-    if (c.kind == Change::Kind::kDone)
+    if (c.kind == TaskChange::Kind::kDone)
       done += job->spec.shape == model::Shape::kGang ? job->spec.tasks : 1;
-    decided = decided || c.kind != Change::Kind::kDone;
+    decided = decided || c.kind != TaskChange::Kind::kDone;
     // The result would be lost with the machine.
-    auto w = workers_.find(c.machine);
+    auto w = workers_.find(c.machine.name);
     leaving = leaving || (w != workers_.end() && w->second.terminates_at);
   }
   int rank = kDeferred;
@@ -722,34 +717,31 @@
   return newest;
 }
 
-bool PartitionOwner::under(int partition, model::Revision lease) const {
-  return owns(partition) && replica_.leases[static_cast<size_t>(partition)].revision == lease;
-}
-
 // A change is worth what its owner knew. Once the partition was with another in between, that one
 // may have started a lost task in place, which changes nothing in the state: so each lease that a
 // change rests on has to be the one it was decided under, that of the machine left as well.
 bool PartitionOwner::apply_change(const model::Job& job, const model::TaskShard& shard,
-                                  model::TaskState& s, const Change& c) const {
-  if (!under(c.partition, c.lease)) return false;
-  if (c.kind == Change::Kind::kPlace) {
-    if (!c.from.empty() && !under(c.from_partition, c.from_lease)) return false;
-    const bool reported_gone = !c.from.empty() && !s.done && s.machine == c.from;
+                                  model::TaskState& s, const TaskChange& c) const {
+  if (!owned_.owns_under(c.machine.partition, c.machine.lease)) return false;
+  if (c.kind == TaskChange::Kind::kPlaced) {
+    if (c.replaces && !owned_.owns_under(c.replaces->partition, c.replaces->lease)) return false;
+    const bool reported_gone = c.replaces && !s.done && s.machine == c.replaces->name;
     const bool gang =
         job.spec.shape == model::Shape::kGang;  // whose tasks share an attempt's number
     if (gang ? s.attempt >= c.attempt : s.attempt + 1 != c.attempt) return false;
     if (job.over() || (!reported_gone && !replica_.waits(s))) return false;
-    if (replica_.machine_gone(c.machine) || c.basis != basis(job, c.partition)) return false;
+    if (replica_.machine_gone(c.machine.name) || c.basis != basis(job, c.machine.partition))
+      return false;
     // Taken from a machine that is in no list: only if the lists are known as far as this shard.
     // With older lists, a machine just dealt would look gone.
     if (!s.machine.empty() && !reported_gone && !replica_.lists_cover(shard)) return false;
-    s.machine = c.machine;
+    s.machine = c.machine.name;
     s.attempt = c.attempt;
     return true;
   }
-  if (s.done || s.machine != c.machine || s.attempt != c.attempt) return false;
+  if (s.done || s.machine != c.machine.name || s.attempt != c.attempt) return false;
   s.machine.clear();
-  s.done = c.kind == Change::Kind::kDone;
+  s.done = c.kind == TaskChange::Kind::kDone;
   return true;
 }
 
@@ -763,7 +755,7 @@
     }
     return;
   }
-  const auto is_place = [](const auto& c) { return c.second.kind == Change::Kind::kPlace; };
+  const auto is_place = [](const auto& c) { return c.second.kind == TaskChange::Kind::kPlaced; };
   const auto places = std::count_if(work.waiting.begin(), work.waiting.end(), is_place);
   const bool whole = static_cast<size_t>(places) == tasks.size() &&
                      std::all_of(tasks.begin(), tasks.end(), [&](const model::TaskState& t) {
@@ -822,7 +814,7 @@
   const bool gang = job.spec.shape == model::Shape::kGang;
   out.bytes = out.value.dump().size();
   for (auto c = work.waiting.end(); out.bytes > most; out.bytes = out.value.dump().size()) {
-    while (c != work.waiting.begin() && std::prev(c)->second.kind != Change::Kind::kPlace) --c;
+    while (c != work.waiting.begin() && std::prev(c)->second.kind != TaskChange::Kind::kPlaced) --c;
     if (c == work.waiting.begin() || gang) return false;
     c = drop_waiting(job, id, work, std::prev(c), out.tasks);
     out.value = wire::encode_shard(out.tasks);
@@ -835,9 +827,9 @@
                                        const ShardWork& work, ShardWrite& out) const {
   bool places = false;
   for (const auto& [i, c] : work.waiting) {
-    places = places || c.kind == Change::Kind::kPlace;
-    out.preconditions[wire::lease_key(c.partition)] = c.lease;
-    if (!c.from.empty()) out.preconditions[wire::lease_key(c.from_partition)] = c.from_lease;
+    places = places || c.kind == TaskChange::Kind::kPlaced;
+    out.preconditions[wire::lease_key(c.machine.partition)] = c.machine.lease;
+    if (c.replaces) out.preconditions[wire::lease_key(c.replaces->partition)] = c.replaces->lease;
   }
   out.preconditions[wire::shard_key(id.job, id.index)] = job.shards[id.index].revision;
   if (places || out.last) out.preconditions[wire::job_key(id.job)] = job.revision;
@@ -895,9 +887,9 @@
   }
   unqueue(id, work);
   for (const auto& [i, c] : work.waiting)
-    ctx_.count(c.kind == Change::Kind::kPlace  ? "tasks_placed"
-               : c.kind == Change::Kind::kLost ? "tasks_lost"
-                                               : "tasks_done");
+    ctx_.count(c.kind == TaskChange::Kind::kPlaced ? "tasks_placed"
+               : c.kind == TaskChange::Kind::kLost ? "tasks_lost"
+                                                   : "tasks_done");
   work.sent = std::exchange(work.waiting, {});
   work.sent_on = shard.revision;
   work.busy = true;
@@ -1147,7 +1139,8 @@
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
   shares_.clear();
-  transfers_.tick([this](int partition, model::Revision lease) { return under(partition, lease); });
+  transfers_.tick(
+      [this](int partition, model::Revision lease) { return owned_.owns_under(partition, lease); });
   for (const auto& t : std::exchange(asked_transfers_, {})) {
     if (!owns(t.from)) continue;
     for (auto& [name, w] : workers_) room_of(w);
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -13,6 +13,8 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/changes/owned_partitions.h"
+#include "rooksill/changes/task_change.h"
 #include "rooksill/membership/cancellations.h"
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
@@ -114,7 +116,7 @@
   std::vector<wire::QuotaUse> quota_use();
   size_t queued() const { return queue_.size(); }
   std::string summary();  // of the machines held, for the log
-  bool owns(int partition) const;
+  bool owns(int partition) const { return owned_.owns(partition); }
   bool suspects_itself() const { return suspects_itself_; }
   std::vector<std::string> silent_machines() const;
   std::vector<std::string> unreachable_zones() const;  // cut off, as far as this node can see
@@ -122,23 +124,10 @@
   std::optional<wire::UnassignedMachine> take_unassigned_machine();
 
  private:
-  struct Change {
-    enum class Kind { kPlace, kLost, kDone } kind = Kind::kPlace;
-    std::string machine;
-    uint64_t attempt = 0;
-    int partition = 0;                           // whose lease guards it
-    model::Revision basis = model::kNoRevision;  // of a placement: what it was decided on
-    model::Revision lease =
-        model::kNoRevision;  // revision of the partition's lease that it was decided under
-    // Of a placement: the machine that reported the attempt before gone, and the lease for that.
-    std::string from;
-    int from_partition = 0;
-    model::Revision from_lease = model::kNoRevision;
-  };
   // In which order changes go out. Results that complete a job or would be lost first, then
   // decisions and losses by priority; results that complete nothing wait for writes to spare.
   using Rank = std::pair<int, double>;
-  using Changes = std::map<uint32_t, Change>;  // by the task's place in its shard
+  using Changes = std::map<uint32_t, changes::TaskChange>;  // by the task's place in its shard
   struct ShardWork {
     Changes waiting, sent;
     model::Revision sent_on = model::kNoRevision;  // revision of the shard that `sent` goes with
@@ -195,25 +184,24 @@
   void record_images(Worker& w);
   void attend(Worker& w);
 
-  void change(const model::TaskRef& task, Change c);
-  const Change* change_of(const model::TaskRef& task) const;
-  static const Change* change_in(const ShardWork& work, uint32_t index);
+  void change(const model::TaskRef& task, changes::TaskChange c);
+  const changes::TaskChange* change_of(const model::TaskRef& task) const;
+  static const changes::TaskChange* change_in(const ShardWork& work, uint32_t index);
   bool changing(const model::TaskRef& task) const { return change_of(task) != nullptr; }
-  bool under(int partition, model::Revision lease) const;
   void resolve(const std::vector<model::ShardId>& shards);
   void queue(const model::ShardId& id, ShardWork& work);
   void unqueue(const model::ShardId& id, ShardWork& work);
   bool more_to_come(const model::Job& job, uint32_t shard, const ShardWork& work) const;
   static int decision_rank(const model::JobSpec& s);
   bool may_decide(const Candidate& c) const;
-  void drop_change(const model::ShardId& id, uint32_t index, const Change& c);
+  void drop_change(const model::ShardId& id, uint32_t index, const changes::TaskChange& c);
   model::Revision basis(const model::Job& job, int partition) const;
   std::optional<wire::WorkerCommand> command_for_unreported(Worker& w, const model::TaskRef& ref,
                                                             const model::Job& job, bool sure);
   std::optional<wire::WorkerCommand> command_for(Worker& w, const wire::ReportedTask& t,
                                                  const model::Job& job);
   bool apply_change(const model::Job& job, const model::TaskShard& shard, model::TaskState& state,
-                    const Change& c) const;
+                    const changes::TaskChange& c) const;
   bool apply_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
                      ShardWrite& out);
   Changes::iterator drop_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
@@ -275,7 +263,7 @@
   std::unordered_map<std::string, Worker> workers_;
   std::unordered_map<std::string, std::string> addresses_;
   std::vector<wire::Address> fresh_addresses_;
-  std::map<int, model::Revision> owned_;  // partitions, with the revision of their lease
+  changes::OwnedPartitions owned_;
   std::map<model::ShardId, ShardWork> work_;
   std::set<std::pair<Rank, model::ShardId>> queue_;
   std::set<model::ShardId> routed_;
