--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -123,6 +123,12 @@
   return n;
 }
 
+bool Peers::leader_heard_within(double seconds) const {
+  for (const auto& [label, p] : peers_)
+    if (p.heartbeat.term > 0 && ctx_.now.steady - p.last_heard < seconds) return true;
+  return false;
+}
+
 double Peers::last_heard_any() const {
   double last = -1e9;
   for (const auto& [label, p] : peers_) last = std::max({last, p.last_heard, p.liveness_seen_at});
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -29,6 +29,7 @@
  public:
   explicit Peers(runtime::Context& ctx) : ctx_(ctx) {
     for (const auto& p : ctx.settings.platform.peers) peers_[p.label];
+    for (const auto& [label, p] : peers_) labels_.push_back(label);
   }
 
   // Nothing if the message is malformed, from nobody known, or older than what was heard.
@@ -55,6 +56,10 @@
   bool heard(const std::string& label) const;  // over its own connection
   int live() const;                            // with this one
   double last_heard_any() const;
+  // Of all other controllers in the settings, sorted.
+  const std::vector<std::string>& labels() const { return labels_; }
+  // Whether one that said it leads was heard in the last so many seconds.
+  bool leader_heard_within(double seconds) const;
   std::map<std::string, Peer>& all() { return peers_; }
   const Peer* find(const std::string& label) const {
     auto it = peers_.find(label);
@@ -71,6 +76,7 @@
 
   runtime::Context& ctx_;
   std::map<std::string, Peer> peers_;
+  std::vector<std::string> labels_;
   uint64_t seq_ = 0;
   int version_ = model::kFirstVersion;
   bool liveness_known_ = false;
