--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -346,7 +346,7 @@
   fleet_.measure(replica_.events);
   replica_.events.clear();
   replica_.touched_jobs.clear();
-  owner_.look();
+  owner_.apply_store_changes();
   replica_.touched_machines.clear();
   owner_.transfer_quotas();
   owner_.place();
--- a/src/rooksill/partition/owner_gang_placement.cc
+++ b/src/rooksill/partition/owner_gang_placement.cc
@@ -52,12 +52,12 @@
   for (const auto& shard : job.shards)
     for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
       const model::TaskState& t = shard.tasks[i];
-      auto w = workers_.find(t.machine);
-      if (t.machine.empty() || w == workers_.end()) continue;
+      agent::Worker* w = workers_.find(t.machine);
+      if (t.machine.empty() || w == nullptr) continue;
       const uint32_t first =
           static_cast<uint32_t>(&shard - job.shards.data()) * job.tasks_per_shard;
       if (!evicted_.insert_or_assign({job.spec.id, first + i}, t.attempt).second) continue;
-      attend(w->second);
+      workers_.mark_changed(*w);
     }
 }
 
@@ -81,16 +81,16 @@
 }
 
 std::vector<placement::GangOption> PartitionOwner::gang_options(
-    const model::Job& job, const std::vector<Worker*>& workers) {
+    const model::Job& job, const std::vector<agent::Worker*>& workers) {
   std::vector<placement::GangOption> out;
   out.reserve(workers.size());
-  for (const Worker* w : workers) {
-    const Room& room = w->room;
+  for (const agent::Worker* w : workers) {
+    const placement::Room& room = w->room;
     placement::GangOption option{room.zone, room.partition, 0, 0, 0};
     if (allowed(job.spec, *w)) option.slots = slots(job.spec, *w);
     if (option.slots > 0) {
       option.score = score(job, *w);
-      if (!w->has_image(job.image))
+      if (!w->images.contains(job.image))
         option.start_s = job.spec.image_gb / std::max(0.01, room.type->fetch_gb_per_s) *
                          (1 + static_cast<double>(room.fetching.size()));
     }
@@ -111,7 +111,7 @@
   return out;
 }
 
-void PartitionOwner::place_gang(const Candidate& c, const std::vector<Worker*>& workers) {
+void PartitionOwner::place_gang(const Candidate& c, const std::vector<agent::Worker*>& workers) {
   const model::Job& job = *c.job;
   const model::JobSpec& s = job.spec;
   if (job.shards.size() != 1) return;
@@ -124,14 +124,14 @@
   if (plan.empty()) return make_room_for_gang(job, workers);
   uint32_t next = 0;
   for (const auto& place : plan) {
-    Worker& w = *workers[place.option];
+    agent::Worker& w = *workers[place.option];
     for (uint32_t k = 0; k < place.tasks; ++k) {
       const model::TaskRef ref{s.id, next++};
       change(ref, TaskChange::placed(w.name, w.room.partition, *attempt));
     }
     ctx_.debug("placer", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}", place.tasks,
                s.id, *attempt, w.name, ctx_.now.wall - job.submitted,
-               w.has_image(job.image) ? "" : ", image not there");
+               w.images.contains(job.image) ? "" : ", image not there");
     work_out_room(w);
   }
 }
@@ -139,12 +139,12 @@
 // Stops work of lower priority if that makes room for the whole gang, and keeps what is free from
 // whoever comes after it in this pass: smaller jobs would take it each time.
 void PartitionOwner::make_room_for_gang(const model::Job& job,
-                                        const std::vector<Worker*>& workers) {
+                                        const std::vector<agent::Worker*>& workers) {
   const model::JobSpec& s = job.spec;
   std::map<std::string, double> could_hold;  // by zone
-  for (const Worker* w : workers) {
+  for (const agent::Worker* w : workers) {
     if (!allowed(s, *w) || s.request.cpus <= 0) continue;
-    const Room& room = w->room;
+    const placement::Room& room = w->room;
     double cpus = room.cpus + room.leaving_cpus - reserve(s, room);
     for (size_t p = 0; p < static_cast<size_t>(s.priority); ++p) cpus += room.cpus_by_priority[p];
     could_hold[s.one_zone ? room.zone : ""] +=
@@ -160,7 +160,7 @@
       ctx_.now.wall - job.submitted > kSetAsideReports * ctx_.settings.platform.report_s;
   const bool enough = best->second >= s.tasks;
   if (!enough && !waits_long) return;
-  for (Worker* w : workers) {
+  for (agent::Worker* w : workers) {
     if (missing == 0) break;
     if (!allowed(s, *w) || (!zone.empty() && w->room.zone != zone)) continue;
     const uint32_t here = std::min(missing, slots(s, *w));
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -37,7 +37,7 @@
 
 // ---- room ----------------------------------------------------------------------------------
 
-void PartitionOwner::forget_room(Worker& w) {
+void PartitionOwner::forget_room(agent::Worker& w) {
   for (const auto& [team, used] : w.room.teams) {
     auto& all = quota_use_[{w.room.partition, team}];
     all.first -= used.first;
@@ -46,11 +46,11 @@
   w.room.teams.clear();
 }
 
-void PartitionOwner::work_out_room(Worker& w) {
+void PartitionOwner::work_out_room(agent::Worker& w) {
   w.room_stale = false;
   forget_room(w);
-  Room& room = w.room;
-  room = Room{};
+  placement::Room& room = w.room;
+  room = placement::Room{};
   const model::Machine* m = replica_.machine(w.name);
   if (m == nullptr) return;
   room.partition = m->partition;
@@ -76,7 +76,7 @@
       return;
     }
     ++room.tasks;
-    if (!w.has_image(job.image) &&
+    if (!w.images.contains(job.image) &&
         std::find(room.fetching.begin(), room.fetching.end(), job.image) == room.fetching.end())
       room.fetching.push_back(job.image);
   };
@@ -110,7 +110,7 @@
       use(*job, 1);
   }
   // One that has ended here and is to start here again is in the state already, and counts anew.
-  for (const auto& ref : w.placing)
+  for (const auto& ref : w.pending_placements)
     if (const model::Job* job = replica_.job(ref.job);
         job != nullptr && (placed.count(ref) == 0 || ended.count(ref) != 0))
       use(*job, 1);
@@ -121,20 +121,21 @@
   }
 }
 
-const Room& PartitionOwner::room_of(Worker& w) {
+const placement::Room& PartitionOwner::room_of(agent::Worker& w) {
   if (w.room_stale) work_out_room(w);
   return w.room;
 }
 
-bool PartitionOwner::open(const Worker& w) const {
+bool PartitionOwner::open(const agent::Worker& w) const {
   const bool heard =
-      silence_of(w) < kProbeReports * ctx_.settings.platform.report_s || !w.probe_failed;
-  return w.room.type != nullptr && w.reported && heard && !w.bad && !w.terminates_at &&
-         drain_.count(w.name) == 0 && w.avoid_until <= ctx_.now.steady;
+      agent::seconds_silent(w, ctx_) < agent::kProbeReports * ctx_.settings.platform.report_s ||
+      !w.probe.failed;
+  return w.room.type != nullptr && w.reported && heard && !w.failures.faulty && !w.terminates_at &&
+         !workers_.draining(w.name) && w.failures.avoid_until <= ctx_.now.steady;
 }
 
-std::vector<Worker*> PartitionOwner::open_workers() {
-  std::vector<Worker*> out;
+std::vector<agent::Worker*> PartitionOwner::open_workers() {
+  std::vector<agent::Worker*> out;
   for (auto& [name, w] : workers_) {
     room_of(w);
     if (open(w)) out.push_back(&w);
@@ -142,8 +143,8 @@
   return out;
 }
 
-bool PartitionOwner::allowed(const model::JobSpec& s, const Worker& w) const {
-  const Room& r = w.room;
+bool PartitionOwner::allowed(const model::JobSpec& s, const agent::Worker& w) const {
+  const placement::Room& r = w.room;
   if (r.spot && !s.spot) return false;
   if (!s.zone.empty() && s.zone != r.zone) return false;
   return s.allows_type(r.type->name);
@@ -154,7 +155,7 @@
          s.request.memory_gb <= memory + kSlack;
 }
 
-double PartitionOwner::reserve(const model::JobSpec& s, const Room& r) const {
+double PartitionOwner::reserve(const model::JobSpec& s, const placement::Room& r) const {
   if (r.spot || !s.spot) return 0;
   // Work that saves and is gone before anybody's start is late need not leave room free.
   double soonest = std::numeric_limits<double>::infinity();
@@ -189,7 +190,7 @@
 
 // Whether what the team has in the machine's partition, with what is placed there, is too much
 // already.
-bool PartitionOwner::exceeds_quota(const std::string& team, Worker& w) {
+bool PartitionOwner::exceeds_quota(const std::string& team, agent::Worker& w) {
   room_of(w);
   const auto& used = quota_use_[{w.partition, team}];
   const model::QuotaShare& share = team_quota(team, w.partition);
@@ -197,8 +198,8 @@
 }
 
 // How many more tasks of this kind a machine takes.
-uint32_t PartitionOwner::slots(const model::JobSpec& s, const Worker& w) {
-  const Room& r = w.room;
+uint32_t PartitionOwner::slots(const model::JobSpec& s, const agent::Worker& w) {
+  const placement::Room& r = w.room;
   const double kept = reserve(s, r);
   double n = 1e6;
   auto part = [&](double have, double need) {
@@ -218,12 +219,12 @@
 }
 
 // The smaller, the better a place.
-double PartitionOwner::score(const model::Job& job, const Worker& w) const {
+double PartitionOwner::score(const model::Job& job, const agent::Worker& w) const {
   const model::JobSpec& s = job.spec;
-  const Room& r = w.room;
+  const placement::Room& r = w.room;
   double out = 0;
   // An image that is there already starts at once; one on its way costs its share of the wait.
-  if (!w.has_image(job.image)) {
+  if (!w.images.contains(job.image)) {
     // Images fetched at the same time share the rate, so those waiting for one go together.
     const double fetch = s.image_gb / std::max(0.01, r.type->fetch_gb_per_s);
     const bool coming =
@@ -247,7 +248,7 @@
 // Makes room for so many tasks by stopping work of lower priority. Says for how many of them room
 // is on its way, also from what was stopped before.
 uint32_t PartitionOwner::make_room(const model::Job& job, uint32_t count,
-                                   const std::vector<Worker*>& workers,
+                                   const std::vector<agent::Worker*>& workers,
                                    const std::map<std::string, uint32_t>& zones,
                                    const std::string& only_zone, bool only_cached) {
   const model::JobSpec& s = job.spec;
@@ -255,21 +256,21 @@
   uint32_t made = 0;
   const bool array = s.shape == model::Shape::kArray;
   const double stop = s.priority >= model::Priority::kUrgent ? 1 : kOrdinaryStop;
-  auto usable = [&](const Worker& w) {
+  auto usable = [&](const agent::Worker& w) {
     if (!allowed(s, w) || (!only_zone.empty() && w.room.zone != only_zone)) return false;
     if (s.spread && in_zone[w.room.zone] >= s.most_in_zone()) return false;
-    if (only_cached && !w.has_image(job.image)) return false;
+    if (only_cached && !w.images.contains(job.image)) return false;
     return within_quota(s, w.room.partition);
   };
-  auto lower = [&](const Room& r) {
+  auto lower = [&](const placement::Room& r) {
     double sum = 0;
     for (size_t p = 0; p < static_cast<size_t>(s.priority); ++p) sum += r.cpus_by_priority[p];
     return sum;
   };
   // First what is being stopped already, as far as nobody before in this pass counts on it.
-  for (Worker* w : workers) {
+  for (agent::Worker* w : workers) {
     if (made >= count) return made;
-    const Room& r = w->room;
+    const placement::Room& r = w->room;
     if (r.leaving_cpus <= 0 && r.leaving_memory <= 0) continue;
     Unmet& taken = promised_[w];
     while (made < count && usable(*w) &&
@@ -282,9 +283,9 @@
       ++made;
     }
   }
-  std::vector<std::pair<double, Worker*>> options;
-  for (Worker* w : workers) {
-    const Room& r = w->room;
+  std::vector<std::pair<double, agent::Worker*>> options;
+  for (agent::Worker* w : workers) {
+    const placement::Room& r = w->room;
     if (lower(r) <= 0 || !usable(*w)) continue;
     // Without the room that is kept free there, or it would be made again and again for nobody.
     if (r.cpus + r.leaving_cpus + lower(r) - reserve(s, r) + kSlack < s.request.cpus) continue;
@@ -311,7 +312,7 @@
     auto victim = lowers.begin();
     bool stopped = false;
     while (made < count && usable(*w)) {
-      const Room& r = w->room;
+      const placement::Room& r = w->room;
       double cpus = r.cpus + r.leaving_cpus - reserve(s, r) - taken.cpus,
              gpus = r.gpus + r.leaving_gpus - taken.gpus,
              memory = r.memory + r.leaving_memory - taken.memory;
@@ -341,7 +342,7 @@
     }
     if (stopped) {
       ++evictions_;
-      attend(*w);
+      workers_.mark_changed(*w);
       work_out_room(*w);
     }
   }
@@ -420,7 +421,7 @@
       place_shard(c, workers);
 }
 
-void PartitionOwner::place_shard(const Candidate& c, const std::vector<Worker*>& workers) {
+void PartitionOwner::place_shard(const Candidate& c, const std::vector<agent::Worker*>& workers) {
   const model::Job& job = *c.job;
   const model::JobSpec& s = job.spec;
   const model::TaskShard& shard = job.shards[c.shard];
@@ -481,7 +482,7 @@
     if (s.one_zone && only_zone.empty()) {
       // All of them must come to fit: take the zone with the most room for this job.
       std::map<std::string, uint64_t> room;
-      for (const Worker* w : workers)
+      for (const agent::Worker* w : workers)
         if (allowed(s, *w)) room[w->room.zone] += slots(s, *w);
       uint64_t most = 0;
       for (const auto& [z, n] : room)
@@ -498,8 +499,8 @@
     const uint32_t there = zones[zone];
     return there >= most_in_zone ? 0 : most_in_zone - there;
   };
-  std::vector<std::pair<double, Worker*>> places;
-  for (Worker* w : workers)
+  std::vector<std::pair<double, agent::Worker*>> places;
+  for (agent::Worker* w : workers)
     if (allowed(s, *w) && zone_left(w->room.zone) > 0 && slots(s, *w) > 0)
       places.emplace_back(score(job, *w), w);
   std::sort(places.begin(), places.end(), [](const auto& a, const auto& b) {
@@ -511,7 +512,7 @@
   for (const auto& [score_there, w] : places) {
     if (next >= todo.size()) break;
     // A replica that would wait for its image starts sooner where lower work makes room for it.
-    if (quick && !asked && !w->has_image(job.image)) {
+    if (quick && !asked && !w->images.contains(job.image)) {
       asked = true;
       const auto left = static_cast<uint32_t>(todo.size() - next);
       const uint32_t made = make_room(job, left, workers, zones, only_zone, true);
@@ -527,7 +528,7 @@
       change(ref, TaskChange::placed(w->name, w->room.partition, attempt));
       ctx_.debug("placer", "task {} attempt {} goes to {} after {:.2f} s{}", wire::task_name(ref),
                  attempt, w->name, ctx_.now.wall - job.submitted,
-                 w->has_image(job.image) ? "" : ", image not there");
+                 w->images.contains(job.image) ? "" : ", image not there");
     }
     if (here == 0) continue;
     zones[w->room.zone] += here;
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -31,7 +31,6 @@
 constexpr int kSuspectMachine = 3;       // failures in a row that make a machine suspect
 constexpr double kMaxBackoffReports = 10;
 constexpr size_t kMaxCommands = 64;  // in one command
-constexpr size_t kTurns = 16;        // calls in which all views and addresses are told again
 constexpr double kDeferReports = 3;  // results that complete nothing are gathered for so long
 constexpr size_t kGroupBytes =
     size_t{40} * 1024;             // of a transaction, well below the protocol's most
@@ -43,10 +42,6 @@
 constexpr int kDeferred = 5;            // rank of results that complete nothing
 }  // namespace
 
-bool Worker::has_image(int image) const {
-  return std::any_of(images.begin(), images.end(), [&](const auto& i) { return i.first == image; });
-}
-
 PartitionOwner::PartitionOwner(runtime::Context& ctx, store::Replica& replica,
                                store::Client& client, store::Committer& committer,
                                const membership::Cancellations& cancellations)
@@ -56,6 +51,7 @@
       committer_(committer),
       cancellations_(cancellations),
       owned_(replica),
+      workers_(ctx, replica),
       transfers_(ctx, replica, committer) {}
 
 bool PartitionOwner::backing_off(const std::string& job) const {
@@ -67,15 +63,6 @@
   return std::exchange(unassigned_machine_, {});
 }
 
-// Whatever concerns this worker is looked at once more at the end of the batch.
-void PartitionOwner::attend(Worker& w) {
-  w.room_stale = w.status_changed = true;
-  w.settled = false;
-  if (w.attention) return;
-  w.attention = true;
-  attention_.push_back(w.name);
-}
-
 // ---- leases --------------------------------------------------------------------------------
 
 void PartitionOwner::activate(int partition) {
@@ -89,14 +76,7 @@
 }
 
 void PartitionOwner::drop_workers(int partition) {
-  for (auto it = workers_.begin(); it != workers_.end();) {
-    if (it->second.partition == partition) {
-      forget_room(it->second);
-      it = workers_.erase(it);
-    } else {
-      ++it;
-    }
-  }
+  workers_.remove_partition(partition, [this](agent::Worker& worker) { forget_room(worker); });
 }
 
 void PartitionOwner::tick() {
@@ -116,36 +96,22 @@
   }
 }
 
-// What a batch changed in the state concerns the machines it names, and no others.
-void PartitionOwner::look() {
+// What a batch changed in the store concerns the machines that it names, and no others.
+void PartitionOwner::apply_store_changes() {
   for (const auto& name : replica_.touched_machines) {
-    const model::Machine* m = replica_.machine(name);
-    auto it = workers_.find(name);
-    if (it != workers_.end()) {
-      if (m == nullptr) {
-        forget_room(it->second);
-        workers_.erase(it);
+    const model::Machine* machine = replica_.machine(name);
+    if (agent::Worker* worker = workers_.find(name)) {
+      if (machine != nullptr) {
+        workers_.mark_changed(*worker);
       } else {
-        attend(it->second);
+        forget_room(*worker);
+        workers_.remove(name);
       }
-      continue;
+    } else if (machine == nullptr) {
+      workers_.forget_address(name);
+    } else if (owns(machine->partition)) {
+      workers_.add(name, machine->partition);
     }
-    if (m == nullptr) {
-      addresses_.erase(name);
-      continue;
-    }
-    if (!owns(m->partition)) continue;
-    Worker w;
-    w.name = name;
-    w.partition = m->partition;
-    w.fencing_token =
-        model::first_worker_token(replica_.leases[static_cast<size_t>(m->partition)].fencing_token);
-    w.unacknowledged_token =
-        model::previous(w.fencing_token);  // any former owner's command may still be under way
-    w.last_heard = w.last_report = ctx_.now.steady;
-    auto a = addresses_.find(name);
-    if (a != addresses_.end()) w.address = a->second;
-    attend(workers_.emplace(name, std::move(w)).first->second);
   }
 }
 
@@ -156,21 +122,21 @@
   size_t up = 0, silent = 0, mute = 0;
   // A machine that answers and brings no reports cannot reach the controllers: its lease runs out
   // again and again, and with it all its work. Where it is most of them, it is this node.
-  auto is_mute = [&](const Worker& w) {
+  auto is_mute = [&](const agent::Worker& w) {
     // Replicas start over in place within moments of each lease's end, so those may stay for
     // longer.
     const double leases = replica_.load(w.name).replica_cpus > 0 ? kMuteReplicaLeases : kMuteLeases;
-    return w.reported &&
-           ctx_.now.steady - std::max({w.last_report, w.heard_since, ctx_.resumed_at}) >
-               leases * ctx_.settings.platform.lease_s;
+    return w.reported && ctx_.now.steady - std::max({w.contact.last_report, w.contact.recovered_at,
+                                                     ctx_.resumed_at}) >
+                             leases * ctx_.settings.platform.lease_s;
   };
   for (const auto& [name, w] : workers_) mute += is_mute(w) ? 1 : 0;
   const bool few_mute = mute * 2 <= workers_.size();
   for (auto& [name, w] : workers_) {
     probe(w);
-    const double age = silence_of(w);
+    const double age = agent::seconds_silent(w, ctx_);
     const bool expected = w.reported || !replica_.placed_on(name).empty();
-    const bool late = expected && w.probe_failed && age > kProbeReports * report;
+    const bool late = expected && w.probe.failed && age > agent::kProbeReports * report;
     if (expected) ++up;
     if (late) ++silent;
     const bool is_silent = (late && (age > silence || w.terminates_at)) || (few_mute && is_mute(w));
@@ -206,11 +172,11 @@
     zone_checks_.clear();
     return;
   }
-  if (!workers_.empty() || addresses_.empty() || ctx_.now.steady < next_test_) return;
+  if (!workers_.empty() || workers_.addresses().empty() || ctx_.now.steady < next_test_) return;
   next_test_ = ctx_.now.steady + report / 4;
   for (int i = 0; i < kTested; ++i) {
-    auto at = addresses_.begin();
-    std::advance(at, static_cast<long>(ctx_.rng() % addresses_.size()));
+    auto at = workers_.addresses().begin();
+    std::advance(at, static_cast<long>(ctx_.rng() % workers_.addresses().size()));
     ctx_.call(runtime::Target::kWorker, at->second, "GET", "/inspect", "", report / 4,
               [this](const runtime::CallDone& done) {
                 if (done.status == 200) last_answer_ = ctx_.now.steady;
@@ -227,13 +193,13 @@
   z.asked = ctx_.now.steady;
   z.sent = z.answered = 0;
   z.judged = false;
-  std::vector<const Worker*> there;
+  std::vector<const agent::Worker*> there;
   for (const auto& [name, w] : workers_) {
     const model::Machine* m = replica_.machine(name);
     if (m != nullptr && m->zone == zone && w.reported && !w.address.empty()) there.push_back(&w);
   }
   std::shuffle(there.begin(), there.end(), ctx_.rng);
-  for (const Worker* w : there) {
+  for (const agent::Worker* w : there) {
     if (z.sent == kZoneSample) break;
     ++z.sent;
     ctx_.call(runtime::Target::kWorker, w->address, "GET", "/inspect", "", report * kZonePatience,
@@ -285,59 +251,44 @@
   return out;
 }
 
-// While this process stood still it could hear nobody: that time is no machine's silence.
-double PartitionOwner::silence_of(const Worker& w) const {
-  return ctx_.now.steady - std::max(w.last_heard, ctx_.resumed_at);
-}
-
-void PartitionOwner::probe(Worker& w) {
+void PartitionOwner::probe(agent::Worker& w) {
   const double report = ctx_.settings.platform.report_s;
-  const double age = silence_of(w);
+  const double age = agent::seconds_silent(w, ctx_);
   // A machine whose lease must have ended is asked at once: its tasks are to start again.
-  const bool over = w.reported && ctx_.now.steady > w.lease_ends && w.last_heard < w.lease_ends;
-  if (age < kProbeReports * report && !over) {
-    w.probe_failed = false;
-    w.failed_probes = 0;
+  const bool over = w.reported && ctx_.now.steady > w.contact.lease_ends_at &&
+                    w.contact.last_heard < w.contact.lease_ends_at;
+  if (age < agent::kProbeReports * report && !over) {
+    w.probe.failed = false;
+    w.probe.failures = 0;
     return;
   }
-  if (w.probing || w.address.empty() || ctx_.now.steady < w.next_probe) {
-    if (w.address.empty() && age > 2 * report) w.probe_failed = true;
+  if (w.probe.in_flight || w.address.empty() || ctx_.now.steady < w.probe.next_at) {
+    if (w.address.empty() && age > 2 * report) w.probe.failed = true;
     return;
   }
   // Hundreds may be late at once, after a cut or a pause: they are asked in turn.
   if (probes_ >= runtime::kProbeSockets * ctx_.settings.platform.max_sockets) return;
   ++probes_;
-  w.probing = true;
-  w.next_probe = ctx_.now.steady + report / 10;
+  w.probe.in_flight = true;
+  w.probe.next_at = ctx_.now.steady + report / 10;
   ctx_.call(runtime::Target::kWorker, w.address, "GET", "/inspect", "", report / 4,
             [this, name = w.name](const runtime::CallDone& done) {
               --probes_;
-              auto it = workers_.find(name);
-              if (it == workers_.end()) return;
-              it->second.probing = false;
+              agent::Worker* it = workers_.find(name);
+              if (it == nullptr) return;
+              it->probe.in_flight = false;
               auto r = done.status == 200 ? wire::parse_heartbeat(done.body) : std::nullopt;
               if (!r || r->machine != name) {
-                it->second.probe_failed = ++it->second.failed_probes >= kProbes;
+                it->probe.failed = ++it->probe.failures >= kProbes;
                 if (const model::Machine* m = replica_.machine(name)) check_zone(m->zone);
                 return;
               }
-              accept_heartbeat(it->second, *r);
+              accept_heartbeat(*it, *r);
             });
 }
 
 // ---- reports -------------------------------------------------------------------------------
 
-void PartitionOwner::record_address(const std::string& machine, const std::string& address) {
-  if (address.empty()) return;
-  std::string& known = addresses_[machine];
-  if (known == address) return;
-  known = address;
-  auto it = workers_.find(machine);
-  if (it == workers_.end()) return;
-  it->second.address = address;
-  if (fresh_addresses_.size() <= workers_.size()) fresh_addresses_.push_back({machine, address});
-}
-
 // An answer lets a worker's tasks live for another lease. A job may have been cancelled since this
 // node last knew of all cancellations, and its tasks have to be gone within `cancel_s` then. That
 // nobody can cancel anything now, since the store is away for all, says nothing of what
@@ -360,97 +311,84 @@
     const bool lead = replica_.leader.label == p.label;
     return ctx_.reply(request, 421, wire::encode_redirect(lead ? "" : replica_.leader.label));
   }
-  auto it = workers_.find(r->machine);
-  if (!owns(m->partition) || it == workers_.end()) {
+  agent::Worker* it = workers_.find(r->machine);
+  if (!owns(m->partition) || it == nullptr) {
     const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(m->partition)];
     if (lease.owner == p.label) return ctx_.reply(request, 503, "{}", 1);
     return ctx_.reply(request, 421, wire::encode_redirect(lease.owner));
   }
   if (!entitled()) return ctx_.reply(request, 503, "{}", 1);
-  Worker& w = it->second;
+  agent::Worker& w = *it;
   // A higher token than ours: somebody else is entitled. A 200 would burn the worker's lease.
-  if (r->fencing_token > w.fencing_token) {
+  if (r->fencing_token > w.tokens.current) {
     ctx_.info("holder", "machine {} has token {} above ours {}", w.name,
-              model::number(r->fencing_token), model::number(w.fencing_token));
+              model::number(r->fencing_token), model::number(w.tokens.current));
     return ctx_.reply(request, 421, "{}");
   }
   ctx_.count("reports");
   w.address = r->address;
-  if (!w.reported || std::pair(r->agent_epoch, r->sequence) > std::pair(w.agent_epoch, w.sequence))
-    w.last_report = ctx_.now.steady;
+  if (!w.reported || agent::version_of(*r) > w.version) w.contact.last_report = ctx_.now.steady;
   accept_heartbeat(w, *r);
-  w.lease_ends = ctx_.now.steady + ctx_.settings.platform.lease_s;
+  w.contact.lease_ends_at = ctx_.now.steady + ctx_.settings.platform.lease_s;
   std::vector<wire::WorkerCommand> commands;
   reconcile(w, &commands);
   // Starts go out as direct commands only: an answer that arrives late could start what has been
   // moved since.
   // What is left for a command of its own are starts.
-  w.settled = std::erase_if(commands, [](const wire::WorkerCommand& o) {
-                return o.op == wire::WorkerCommand::Op::kStart;
-              }) == 0;
-  ctx_.reply(request, 200, wire::encode_answer(w.fencing_token, commands));
+  w.answered_in_full = std::erase_if(commands, [](const wire::WorkerCommand& o) {
+                         return o.op == wire::WorkerCommand::Op::kStart;
+                       }) == 0;
+  ctx_.reply(request, 200, wire::encode_answer(w.tokens.current, commands));
 }
 
-void PartitionOwner::accept_heartbeat(Worker& w, const wire::WorkerHeartbeat& r) {
+void PartitionOwner::accept_heartbeat(agent::Worker& w, const wire::WorkerHeartbeat& r) {
   // Late copies of older reports carry older task lists.
-  if (w.reported && std::pair(r.agent_epoch, r.sequence) <= std::pair(w.agent_epoch, w.sequence))
-    return;
-  if (!w.reported || r.agent_epoch != w.agent_epoch)
+  if (w.reported && agent::version_of(r) <= w.version) return;
+  if (!w.reported || r.agent_epoch != w.version.agent_epoch)
     ctx_.info("holder", "machine {} reports: session {} token {} tasks {}", w.name, r.agent_epoch,
               model::number(r.fencing_token), r.tasks.size());
   w.reported = true;
-  w.agent_epoch = r.agent_epoch;
-  w.sequence = r.sequence;
-  w.seen_fencing_token = r.fencing_token;
+  w.version = agent::version_of(r);
+  w.tokens.seen = r.fencing_token;
   // A machine that was out of reach needs a while to find its controller again.
   const auto& s = ctx_.settings;
-  if (silence_of(w) > s.operators.machine_silence_reports * s.platform.report_s)
-    w.heard_since = ctx_.now.steady;
-  w.last_heard = last_answer_ = ctx_.now.steady;
-  w.probe_failed = false;
-  w.failed_probes = 0;
+  if (agent::seconds_silent(w, ctx_) > s.operators.machine_silence_reports * s.platform.report_s)
+    w.contact.recovered_at = ctx_.now.steady;
+  w.contact.last_heard = last_answer_ = ctx_.now.steady;
+  w.probe.failed = false;
+  w.probe.failures = 0;
   w.tasks = r.tasks;
   if (r.termination_notice_s && !w.terminates_at) {
     w.terminates_at = ctx_.now.steady + *r.termination_notice_s;
     ctx_.info("holder", "machine {} will be taken in {:.1f} s", w.name, *r.termination_notice_s);
   }
   record_images(w);
-  attend(w);
+  workers_.mark_changed(w);
   placement_requested_ = true;
 }
 
-void PartitionOwner::record_images(Worker& w) {
+void PartitionOwner::record_images(agent::Worker& w) {
   const model::Machine* m = replica_.machine(w.name);
   for (const auto& t : w.tasks) {
     if (t.phase != wire::TaskPhase::kRunning && t.phase != wire::TaskPhase::kWaitingForGang)
       continue;
     const model::Job* j = replica_.job(t.task.job);
     if (j == nullptr) continue;
-    auto it = std::find_if(w.images.begin(), w.images.end(),
-                           [&](const auto& i) { return i.first == j->image; });
-    if (it != w.images.end()) {
-      w.images.splice(w.images.begin(), w.images, it);
-    } else {
-      w.images.emplace_front(j->image, j->spec.image_gb);
-      w.image_gb += j->spec.image_gb;
-    }
+    w.images.touch(j->image, j->spec.image_gb);
   }
   auto type = m != nullptr ? replica_.types.find(m->type) : replica_.types.end();
   if (type == replica_.types.end()) return;
-  while (w.image_gb > type->second.cache_gb && !w.images.empty()) {
-    w.image_gb -= w.images.back().second;
-    w.images.pop_back();
-  }
+  w.images.shrink_to(type->second.cache_gb);
 }
 
 // A worker's word that a task is absent or ended counts only if no command from before can still
 // reach it: it has to have seen a higher token than the last unacknowledged command's.
-bool PartitionOwner::trusted(const Worker& w) const {
-  return w.reported && w.seen_fencing_token > std::max(w.unacknowledged_token, w.sending);
+bool PartitionOwner::trusted(const agent::Worker& w) const {
+  return w.reported && w.tokens.earlier_commands_fenced();
 }
 
 // Compares what a worker reported with what the state says, and derives what follows.
-void PartitionOwner::reconcile(Worker& w, std::vector<wire::WorkerCommand>* commands) {
+void PartitionOwner::reconcile(agent::Worker& w, std::vector<wire::WorkerCommand>* commands) {
   if (!w.reported || !owns(w.partition)) return;
   const bool sure = trusted(w);
   std::set<model::TaskRef> matched;
@@ -473,8 +411,8 @@
     const model::Job* job = replica_.job(t.task.job);
     if (t.phase == wire::TaskPhase::kExited) {
       if (t.cause == wire::ExitCause::kDone) {
-        w.failures = 0;
-        w.failed_jobs.clear();
+        w.failures.consecutive = 0;
+        w.failures.jobs.clear();
         change(t.task, TaskChange::done(w.name, w.partition, t.attempt));
       } else if (sure) {
         lost(w, t);
@@ -494,7 +432,7 @@
 }
 
 // What a task that is on its machine, as the state has it, is to be told.
-std::optional<wire::WorkerCommand> PartitionOwner::command_for(Worker& w,
+std::optional<wire::WorkerCommand> PartitionOwner::command_for(agent::Worker& w,
                                                                const wire::ReportedTask& t,
                                                                const model::Job& job) {
   const wire::WorkerCommand at_once{wire::WorkerCommand::Op::kStop, t.task, t.attempt, 0};
@@ -519,15 +457,15 @@
 // hundreds of machines at once. A machine that is to go is no place for it, nor one where its
 // team's share has been given to others since it ended here unwritten. Nor can a gang's task come
 // back to an attempt that has run, or that has lost another task.
-std::optional<wire::WorkerCommand> PartitionOwner::command_for_unreported(Worker& w,
+std::optional<wire::WorkerCommand> PartitionOwner::command_for_unreported(agent::Worker& w,
                                                                           const model::TaskRef& ref,
                                                                           const model::Job& job,
                                                                           bool sure) {
   const uint64_t attempt = replica_.task(ref)->attempt;
   const bool attempt_over = job.spec.shape == model::Shape::kGang &&
                             (w.running_since.count(ref) != 0 || gang_broken(job));
-  const bool lost = job.over() || w.terminates_at || w.bad || drain_.count(w.name) != 0 ||
-                    attempt_over || exceeds_quota(job.spec.team, w);
+  const bool lost = job.over() || w.terminates_at || w.failures.faulty ||
+                    workers_.draining(w.name) || attempt_over || exceeds_quota(job.spec.team, w);
   if (!lost) return wire::WorkerCommand{wire::WorkerCommand::Op::kStart, ref, attempt, 0};
   if (!sure) return std::nullopt;
   w.running_since.erase(ref);
@@ -537,7 +475,7 @@
 
 // Whether a task on a machine that will be taken is likely to complete before. What is not starts
 // elsewhere at once, instead of when the machine has gone.
-bool PartitionOwner::ends_in_time(const Worker& w, const wire::ReportedTask& t,
+bool PartitionOwner::ends_in_time(const agent::Worker& w, const wire::ReportedTask& t,
                                   const model::Job& job) const {
   const model::JobSpec& s = job.spec;
   if (s.shape == model::Shape::kService) return false;
@@ -548,14 +486,14 @@
   return s.estimate_s - ran < left;
 }
 
-void PartitionOwner::lost(Worker& w, const wire::ReportedTask& t) {
+void PartitionOwner::lost(agent::Worker& w, const wire::ReportedTask& t) {
   ctx_.debug("holder", "task {} attempt {} ended on {}: cause {}", wire::task_name(t.task),
              t.attempt, w.name, static_cast<int>(t.cause));
   if (t.cause == wire::ExitCause::kError) {
     record_failure(w, t.task.job, t.attempt);
   } else if (t.cause != wire::ExitCause::kStopped && t.cause != wire::ExitCause::kGangMemberLost &&
              t.cause != wire::ExitCause::kGangIncomplete) {
-    w.avoid_until = ctx_.now.steady + ctx_.settings.platform.report_s / 3;
+    w.failures.avoid_until = ctx_.now.steady + ctx_.settings.platform.report_s / 3;
   }
   w.running_since.erase(t.task);
   change(t.task, TaskChange::lost(w.name, w.partition, t.attempt));
@@ -563,7 +501,7 @@
 
 // A machine on which task after task fails is returned; a job that fails on machine after machine
 // backs off by itself and is not held against them.
-void PartitionOwner::record_failure(Worker& w, const std::string& job, uint64_t attempt) {
+void PartitionOwner::record_failure(agent::Worker& w, const std::string& job, uint64_t attempt) {
   JobTrouble& trouble = troubles_[job];
   trouble.machines.insert(w.name);
   // Attempts are counted in the state: they show what failed under other owners.
@@ -577,16 +515,17 @@
     ctx_.info("holder", "job {} failed on {} machines: next try in {:.1f} s", job,
               trouble.machines.size(), wait);
     for (auto& [name, other] : workers_) {
-      if (other.failed_jobs.erase(job) == 0) continue;
-      other.failures = std::max(0, other.failures - 1);
+      if (other.failures.jobs.erase(job) == 0) continue;
+      other.failures.consecutive = std::max(0, other.failures.consecutive - 1);
     }
     return;
   }
-  ++w.failures;
-  w.failed_jobs.insert(job);
-  w.avoid_until = ctx_.now.steady + report * w.failures;
-  if (!w.bad && w.failures >= kSuspectMachine && w.failed_jobs.size() >= 2) {
-    w.bad = true;
+  ++w.failures.consecutive;
+  w.failures.jobs.insert(job);
+  w.failures.avoid_until = ctx_.now.steady + report * w.failures.consecutive;
+  if (!w.failures.faulty && w.failures.consecutive >= kSuspectMachine &&
+      w.failures.jobs.size() >= 2) {
+    w.failures.faulty = true;
     ctx_.info("holder", "machine {} fails task after task: to be returned", w.name);
   }
 }
@@ -610,10 +549,10 @@
 void PartitionOwner::change(const model::TaskRef& task, TaskChange c) {
   const model::Job* job = replica_.job(task.job);
   if (job == nullptr) return;
-  auto w = workers_.find(c.machine.name);
-  if (w != workers_.end()) {
-    w->second.room_stale = w->second.status_changed = true;
-    if (c.kind == TaskChange::Kind::kPlaced) w->second.placing.insert(task);
+  agent::Worker* w = workers_.find(c.machine.name);
+  if (w != nullptr) {
+    w->room_stale = w->status_changed = true;
+    if (c.kind == TaskChange::Kind::kPlaced) w->pending_placements.insert(task);
   }
   c.machine.lease = replica_.leases[static_cast<size_t>(c.machine.partition)].revision;
   if (c.kind == TaskChange::Kind::kPlaced) c.basis = basis(*job, c.machine.partition);
@@ -634,11 +573,12 @@
 
 // A change that is not to be written any more, or has been.
 void PartitionOwner::drop_change(const model::ShardId& id, uint32_t index, const TaskChange& c) {
-  auto w = workers_.find(c.machine.name);
-  if (w == workers_.end()) return;
+  agent::Worker* w = workers_.find(c.machine.name);
+  if (w == nullptr) return;
   const model::Job* job = replica_.job(id.job);
-  if (job != nullptr) w->second.placing.erase({id.job, id.index * job->tasks_per_shard + index});
-  attend(w->second);
+  if (job != nullptr)
+    w->pending_placements.erase({id.job, id.index * job->tasks_per_shard + index});
+  workers_.mark_changed(*w);
   placement_requested_ = true;
 }
 
@@ -690,8 +630,8 @@
       done += job->spec.shape == model::Shape::kGang ? job->spec.tasks : 1;
     decided = decided || c.kind != TaskChange::Kind::kDone;
     // The result would be lost with the machine.
-    auto w = workers_.find(c.machine.name);
-    leaving = leaving || (w != workers_.end() && w->second.terminates_at);
+    agent::Worker* w = workers_.find(c.machine.name);
+    leaving = leaving || (w != nullptr && w->terminates_at);
   }
   int rank = kDeferred;
   if (leaving || done >= job->spec.tasks)
@@ -1018,17 +958,15 @@
 // ---- commands ------------------------------------------------------------------------------
 
 void PartitionOwner::push() {
-  std::vector<std::string> names = std::exchange(attention_, {});
-  for (const auto& name : names) {
-    auto it = workers_.find(name);
-    if (it == workers_.end() || !it->second.attention) continue;
-    Worker& w = it->second;
-    w.attention = false;
-    if (w.sending != model::kNoFencingToken) continue;  // its answer brings attention again
-    if (w.address.empty() || ctx_.now.steady < w.next_push ||
+  for (const auto& name : workers_.take_changed()) {
+    agent::Worker* changed = workers_.claim_changed(name);
+    if (changed == nullptr) continue;
+    agent::Worker& w = *changed;
+    if (w.tokens.in_flight != model::kNoFencingToken)
+      continue;  // its answer brings attention again
+    if (w.address.empty() || ctx_.now.steady < w.next_command_at ||
         sends_ >= runtime::kCommandSockets * ctx_.settings.platform.max_sockets) {
-      w.attention = true;
-      attention_.push_back(name);
+      workers_.defer(w);
       continue;
     }
     if (!w.reported) {
@@ -1036,7 +974,7 @@
       send(w, {}, true);
       continue;
     }
-    if (std::exchange(w.settled, false)) continue;
+    if (std::exchange(w.answered_in_full, false)) continue;
     std::vector<wire::WorkerCommand> commands;
     reconcile(w, &commands);
     if (replica_.synced_at < ctx_.resumed_at || !entitled()) {
@@ -1047,9 +985,8 @@
         return o.op == wire::WorkerCommand::Op::kStart;
       });
       if (starts > 0) {
-        w.next_push = ctx_.now.steady + ctx_.settings.platform.report_s / 20;
-        w.attention = true;
-        attention_.push_back(name);
+        w.next_command_at = ctx_.now.steady + ctx_.settings.platform.report_s / 20;
+        workers_.defer(w);
       }
     }
     // Forgetting alone is not urgent: the next answer carries it. Before a start it is, since an
@@ -1063,48 +1000,49 @@
   }
 }
 
-void PartitionOwner::send(Worker& w, std::vector<wire::WorkerCommand> commands,
+void PartitionOwner::send(agent::Worker& w, std::vector<wire::WorkerCommand> commands,
                           bool even_if_empty) {
   if (commands.empty() && !even_if_empty) return;
   const double report = ctx_.settings.platform.report_s;
-  w.sending = w.fencing_token;
+  w.tokens.in_flight = w.tokens.current;
   ++sends_;
   const bool starts = std::any_of(
       commands.begin(), commands.end(),
       [](const wire::WorkerCommand& o) { return o.op == wire::WorkerCommand::Op::kStart; });
   ctx_.debug("holder", "machine {}: {} orders, token {}", w.name, commands.size(),
-             model::number(w.fencing_token));
+             model::number(w.tokens.current));
   ctx_.call(runtime::Target::kWorker, w.address, "POST", "/commands",
-            wire::encode_commands(w.fencing_token, std::max<uint64_t>(1, w.agent_epoch), commands),
+            wire::encode_commands(w.tokens.current, std::max<uint64_t>(1, w.version.agent_epoch),
+                                  commands),
             report * kCommandReports,
-            [this, name = w.name, fencing_token = w.fencing_token, starts,
+            [this, name = w.name, fencing_token = w.tokens.current, starts,
              report](const runtime::CallDone& done) {
               --sends_;
-              auto it = workers_.find(name);
-              if (it == workers_.end() || it->second.sending != fencing_token) return;
-              Worker& x = it->second;
-              x.sending = model::kNoFencingToken;
-              attend(x);
+              agent::Worker* it = workers_.find(name);
+              if (it == nullptr || it->tokens.in_flight != fencing_token) return;
+              agent::Worker& x = *it;
+              x.tokens.in_flight = model::kNoFencingToken;
+              workers_.mark_changed(x);
               auto r = done.status == 200 || done.status == 409 ? wire::parse_heartbeat(done.body)
                                                                 : std::nullopt;
               if (r && r->machine == name) {
-                if (done.status == 409) x.next_push = ctx_.now.steady + report / 30;
-                if (r->fencing_token > x.fencing_token) {
+                if (done.status == 409) x.next_command_at = ctx_.now.steady + report / 30;
+                if (r->fencing_token > x.tokens.current) {
                   ctx_.info("holder", "machine {} has token {} above ours {}", name,
-                            model::number(r->fencing_token), model::number(x.fencing_token));
-                  x.next_push = ctx_.now.steady + report;
+                            model::number(r->fencing_token), model::number(x.tokens.current));
+                  x.next_command_at = ctx_.now.steady + report;
                   return;
                 }
                 accept_heartbeat(x, *r);
                 return;
               }
-              x.next_push = ctx_.now.steady + report / 3;
+              x.next_command_at = ctx_.now.steady + report / 3;
               // Not acknowledged: it may still run later, unless a higher token gets there first.
               if (starts && !done.refused) {
-                x.unacknowledged_token = std::max(x.unacknowledged_token, fencing_token);
-                x.fencing_token = std::max(x.fencing_token, model::next(fencing_token));
+                x.tokens.unacknowledged = std::max(x.tokens.unacknowledged, fencing_token);
+                x.tokens.current = std::max(x.tokens.current, model::next(fencing_token));
                 ctx_.debug("holder", "machine {}: command unacknowledged, token now {}", name,
-                           model::number(x.fencing_token));
+                           model::number(x.tokens.current));
               }
             });
 }
@@ -1113,24 +1051,20 @@
   if (r.term < routed_term_) return;
   if (r.full) {
     routed_.clear();
-    for (const auto& name : drain_)
-      if (auto w = workers_.find(name); w != workers_.end()) w->second.status_changed = true;
-    drain_.clear();
+    workers_.clear_draining();
   }
-  for (const auto& name : r.drain)
-    if (auto w = workers_.find(name); w != workers_.end()) w->second.status_changed = true;
+  workers_.drain(r.drain);
   routed_term_ = r.term;
   for (const auto& x : r.routes) routed_.insert({x.job, x.shard});
   asked_transfers_.insert(asked_transfers_.end(), r.transfers.begin(), r.transfers.end());
-  drain_.insert(r.drain.begin(), r.drain.end());
   for (const auto& m : r.moves) {
     const model::TaskRef ref{m.job, m.index};
     const model::TaskState* t = replica_.task(ref);
     if (t == nullptr || t->attempt != m.attempt) continue;
-    auto w = workers_.find(t->machine);
-    if (w == workers_.end()) continue;
+    agent::Worker* w = workers_.find(t->machine);
+    if (w == nullptr) continue;
     evicted_[ref] = m.attempt;
-    attend(w->second);
+    workers_.mark_changed(*w);
   }
   placement_requested_ = true;
 }
@@ -1186,9 +1120,9 @@
   std::array<size_t, 5> phases{};
   double cpus = 0, free = 0;
   for (auto& [name, w] : workers_) {
-    const Room& room = room_of(w);
+    const placement::Room& room = room_of(w);
     reported += w.reported ? 1 : 0;
-    sending += w.sending != model::kNoFencingToken ? 1 : 0;
+    sending += w.tokens.in_flight != model::kNoFencingToken ? 1 : 0;
     placed += replica_.placed_on(name).size();
     for (const auto& t : w.tasks) ++phases[static_cast<size_t>(t.phase)];
     if (!open(w)) continue;
@@ -1204,14 +1138,14 @@
       phases[2], phases[3], phases[4], routed_.size());
 }
 
-wire::MachineStatus PartitionOwner::status_of(Worker& w) {
-  const Room& room = room_of(w);
+wire::MachineStatus PartitionOwner::status_of(agent::Worker& w) {
+  const placement::Room& room = room_of(w);
   wire::MachineStatus v;
   v.name = w.name;
   v.up = w.reported;
-  v.draining = drain_.count(w.name) != 0;
+  v.draining = workers_.draining(w.name);
   v.silent = w.silent;
-  v.bad = w.bad;
+  v.bad = w.failures.faulty;
   v.termination_notice = w.terminates_at.has_value();
   v.cpus_free = open(w) ? room.cpus : 0;
   if (open(w))
@@ -1225,31 +1159,19 @@
         1 - room.cpus / room.type->capacity.cpus,
         room.type->capacity.memory_gb > 0 ? 1 - room.memory / room.type->capacity.memory_gb : 0);
   }
-  for (const auto& [image, gb] : w.images) v.images.push_back(replica_.image_name(image));
+  for (const auto& entry : w.images.entries()) v.images.push_back(replica_.image_name(entry.image));
   return v;
 }
 
 std::vector<wire::MachineStatus> PartitionOwner::take_statuses(bool all) {
   std::vector<wire::MachineStatus> out;
-  size_t i = turn_;
-  for (auto& [name, w] : workers_) {
-    const bool turn = ++i % kTurns == 0;
-    if (!all && !turn && !w.status_changed) continue;
-    w.status_changed = false;
-    wire::MachineStatus v = status_of(w);
-    if (!all && !turn && v == w.told) continue;
-    w.told = v;
-    out.push_back(std::move(v));
+  for (const auto& [worker, turn] : workers_.take_status_due(all)) {
+    wire::MachineStatus status = status_of(*worker);
+    if (!turn && status == worker->published_status) continue;
+    worker->published_status = status;
+    out.push_back(std::move(status));
   }
   return out;
 }
 
-std::vector<wire::Address> PartitionOwner::take_addresses() {
-  std::vector<wire::Address> out = std::exchange(fresh_addresses_, {});
-  size_t i = ++turn_;
-  for (const auto& [name, w] : workers_)
-    if (++i % kTurns == 0 && !w.address.empty()) out.push_back({name, w.address});
-  return out;
-}
-
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -13,6 +13,8 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/agent/worker.h"
+#include "rooksill/agent/worker_table.h"
 #include "rooksill/changes/owned_partitions.h"
 #include "rooksill/changes/task_change.h"
 #include "rooksill/membership/cancellations.h"
@@ -21,6 +23,7 @@
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
 #include "rooksill/placement/gang_plan.h"
+#include "rooksill/placement/room.h"
 #include "rooksill/quota/quota_transfers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
@@ -30,62 +33,6 @@
 
 namespace rooksill::partition {
 
-inline constexpr double kProbeReports = 1.15;  // silence, in reports, after which one is asked
-
-// What is free on a machine, as its owner sees it. Worked out anew when something there changed.
-struct Room {
-  const model::MachineType* type = nullptr;
-  int partition = 0;
-  bool spot = false;
-  std::string zone;
-  double cpus = 0, gpus = 0, memory = 0;
-  uint32_t tasks = 0;
-  std::vector<int> fetching;  // images on their way there
-  // Cores of tasks by priority, and what those being stopped will leave.
-  std::array<double, 4> cpus_by_priority{};
-  double leaving_cpus = 0, leaving_gpus = 0, leaving_memory = 0;
-  // What each team has here, so that it can be taken back when the room is worked out anew.
-  std::map<std::string, std::pair<double, double>> teams;
-};
-
-// What a owner knows of a machine in one of its partitions.
-struct Worker {
-  std::string name, address;
-  int partition = 0;
-  model::FencingToken fencing_token =
-      model::kNoFencingToken;  // sent with every answer and command; only rises
-  // Highest token that was sent with a direct command nobody acknowledged. Such a command may
-  // still run until the worker has seen a higher one.
-  model::FencingToken unacknowledged_token = model::kNoFencingToken;
-  model::FencingToken sending =
-      model::kNoFencingToken;  // token of the direct command under way, 0: none
-  uint64_t agent_epoch = 0, sequence = 0;
-  model::FencingToken seen_fencing_token = model::kNoFencingToken;
-  bool reported = false;
-  double last_heard = 0;   // in whatever way
-  double heard_since = 0;  // when it was heard again after a silence
-  double lease_ends = 0;   // at the latest, if no report of its own is answered
-  double last_report = 0;  // that it brought itself: only an answer to one renews its lease
-  double next_probe = 0, next_push = 0;
-  bool probing = false, probe_failed = false;
-  int failed_probes = 0;
-  std::map<model::TaskRef, double> running_since;
-  std::vector<wire::ReportedTask> tasks;
-  std::optional<double> terminates_at;
-  std::list<std::pair<int, double>> images;  // by number, most recently used first
-  double image_gb = 0;
-  int failures = 0;
-  std::set<std::string> failed_jobs;
-  bool bad = false;
-  double avoid_until = 0;
-  std::set<model::TaskRef> placing;  // decided and not yet in the state
-  Room room;
-  // attention: to be looked at; settled: its last answer said all there was to say.
-  bool room_stale = true, attention = false, settled = false, status_changed = true, silent = false;
-  wire::MachineStatus told;  // to the leader, last
-  bool has_image(int image) const;
-};
-
 class PartitionOwner {
  public:
   PartitionOwner(runtime::Context& ctx, store::Replica& replica, store::Client& client,
@@ -97,11 +44,13 @@
   void route_here(const model::ShardId& shard) { routed_.insert(shard); }
   void
   route_without_leader();  // while nobody routes: what waits, by a rule that all controllers share
-  void record_address(const std::string& machine, const std::string& address);
+  void record_address(const std::string& machine, const std::string& address) {
+    workers_.record_address(machine, address);
+  }
 
-  void tick();            // takes leases up and gives them up
-  void check_timeouts();  // what only time changes: probes, silence
-  void look();            // at what the batch changed
+  void tick();                 // takes leases up and gives them up
+  void check_timeouts();       // what only time changes: probes, silence
+  void apply_store_changes();  // that came with the batch
   // Passes on shares of limits as the leader asked, as far as they are not in use.
   void transfer_quotas();
   void place();  // at most once in a while, if there is reason to
@@ -111,7 +60,7 @@
 
   // What changed since the last call, and some others in turn; everything if `all`.
   std::vector<wire::MachineStatus> take_statuses(bool all);
-  std::vector<wire::Address> take_addresses();
+  std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
   // Of teams with a limit, in the partitions held.
   std::vector<wire::QuotaUse> quota_use();
   size_t queued() const { return queue_.size(); }
@@ -175,14 +124,14 @@
 
   void activate(int partition);
   void drop_workers(int partition);
-  void accept_heartbeat(Worker& w, const wire::WorkerHeartbeat& r);
-  void reconcile(Worker& w, std::vector<wire::WorkerCommand>* commands);
-  bool trusted(const Worker& w) const;
-  bool ends_in_time(const Worker& w, const wire::ReportedTask& t, const model::Job& job) const;
-  void lost(Worker& w, const wire::ReportedTask& t);
-  void record_failure(Worker& w, const std::string& job, uint64_t attempt);
-  void record_images(Worker& w);
-  void attend(Worker& w);
+  void accept_heartbeat(agent::Worker& w, const wire::WorkerHeartbeat& r);
+  void reconcile(agent::Worker& w, std::vector<wire::WorkerCommand>* commands);
+  bool trusted(const agent::Worker& w) const;
+  bool ends_in_time(const agent::Worker& w, const wire::ReportedTask& t,
+                    const model::Job& job) const;
+  void lost(agent::Worker& w, const wire::ReportedTask& t);
+  void record_failure(agent::Worker& w, const std::string& job, uint64_t attempt);
+  void record_images(agent::Worker& w);
 
   void change(const model::TaskRef& task, changes::TaskChange c);
   const changes::TaskChange* change_of(const model::TaskRef& task) const;
@@ -196,9 +145,10 @@
   bool may_decide(const Candidate& c) const;
   void drop_change(const model::ShardId& id, uint32_t index, const changes::TaskChange& c);
   model::Revision basis(const model::Job& job, int partition) const;
-  std::optional<wire::WorkerCommand> command_for_unreported(Worker& w, const model::TaskRef& ref,
+  std::optional<wire::WorkerCommand> command_for_unreported(agent::Worker& w,
+                                                            const model::TaskRef& ref,
                                                             const model::Job& job, bool sure);
-  std::optional<wire::WorkerCommand> command_for(Worker& w, const wire::ReportedTask& t,
+  std::optional<wire::WorkerCommand> command_for(agent::Worker& w, const wire::ReportedTask& t,
                                                  const model::Job& job);
   bool apply_change(const model::Job& job, const model::TaskShard& shard, model::TaskState& state,
                     const changes::TaskChange& c) const;
@@ -216,29 +166,29 @@
               std::vector<std::string> keys);
   void drop_sent(const std::vector<model::ShardId>& shards);
   void send_again(const std::vector<model::ShardId>& shards);
-  double silence_of(const Worker& w) const;
-  void probe(Worker& w);
+  void probe(agent::Worker& w);
   void suspect(size_t silent, size_t up);
   bool entitled() const;
   void check_zone(const std::string& zone);
   void judge_zones();
-  void send(Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
-
-  wire::MachineStatus status_of(Worker& w);
-  const Room& room_of(Worker& w);
-  void work_out_room(Worker& w);
-  void forget_room(Worker& w);
-  bool open(const Worker& w) const;
-  std::vector<Worker*> open_workers();
-  bool allowed(const model::JobSpec& s, const Worker& w) const;
+  void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
+
+  wire::MachineStatus status_of(agent::Worker& w);
+  const placement::Room& room_of(agent::Worker& w);
+  void work_out_room(agent::Worker& w);
+  void forget_room(agent::Worker& w);
+  bool open(const agent::Worker& w) const;
+  std::vector<agent::Worker*> open_workers();
+  bool allowed(const model::JobSpec& s, const agent::Worker& w) const;
   static bool fits(const model::JobSpec& s, double cpus, double gpus, double memory);
-  uint32_t slots(const model::JobSpec& s, const Worker& w);
-  double score(const model::Job& job, const Worker& w) const;
+  uint32_t slots(const model::JobSpec& s, const agent::Worker& w);
+  double score(const model::Job& job, const agent::Worker& w) const;
   const model::QuotaShare& team_quota(const std::string& team, int partition);
   bool within_quota(const model::JobSpec& s, int partition);
-  bool exceeds_quota(const std::string& team, Worker& w);
-  void place_shard(const Candidate& c, const std::vector<Worker*>& workers);
-  uint32_t make_room(const model::Job& job, uint32_t count, const std::vector<Worker*>& workers,
+  bool exceeds_quota(const std::string& team, agent::Worker& w);
+  void place_shard(const Candidate& c, const std::vector<agent::Worker*>& workers);
+  uint32_t make_room(const model::Job& job, uint32_t count,
+                     const std::vector<agent::Worker*>& workers,
                      const std::map<std::string, uint32_t>& zones, const std::string& only_zone,
                      bool only_cached);
   // Gang jobs (placement/gang_placer.cc).
@@ -246,13 +196,13 @@
   void stop_gang(const model::Job& job);
   std::optional<uint64_t> next_gang_attempt(const model::Job& job) const;
   std::vector<placement::GangOption> gang_options(const model::Job& job,
-                                                  const std::vector<Worker*>& workers);
+                                                  const std::vector<agent::Worker*>& workers);
   std::map<int, double> gang_tasks_left(const model::JobSpec& s);
-  void place_gang(const Candidate& c, const std::vector<Worker*>& workers);
-  void make_room_for_gang(const model::Job& job, const std::vector<Worker*>& workers);
+  void place_gang(const Candidate& c, const std::vector<agent::Worker*>& workers);
+  void make_room_for_gang(const model::Job& job, const std::vector<agent::Worker*>& workers);
   void keep_gang_whole(const model::Job& job, const model::ShardId& id, ShardWork& work,
                        std::vector<model::TaskState>& tasks);
-  double reserve(const model::JobSpec& s, const Room& r) const;
+  double reserve(const model::JobSpec& s, const placement::Room& r) const;
   double due_time(const model::Job& job) const;
 
   runtime::Context& ctx_;
@@ -260,15 +210,12 @@
   store::Client& client_;
   store::Committer& committer_;
   const membership::Cancellations& cancellations_;
-  std::unordered_map<std::string, Worker> workers_;
-  std::unordered_map<std::string, std::string> addresses_;
-  std::vector<wire::Address> fresh_addresses_;
   changes::OwnedPartitions owned_;
+  agent::WorkerTable workers_;
   std::map<model::ShardId, ShardWork> work_;
   std::set<std::pair<Rank, model::ShardId>> queue_;
   std::set<model::ShardId> routed_;
   uint64_t routed_term_ = 0;
-  std::set<std::string> drain_;
   std::map<std::string, ZoneCheck> zone_checks_;
   std::unordered_map<std::string, JobTrouble> troubles_;
   std::map<model::TaskRef, uint64_t> evicted_;  // attempt being stopped to make room or to drain
@@ -277,11 +224,12 @@
       shares_;  // worked out anew with each pass
   quota::QuotaTransfers transfers_;
   std::vector<wire::QuotaTransfer> asked_transfers_;
-  std::vector<std::string> attention_;
   std::optional<wire::UnassignedMachine> unassigned_machine_;
   std::map<int, Unmet> unmet_;
-  std::unordered_map<const Worker*, Unmet> promised_;   // of what is being made free, in a pass
-  std::unordered_map<const Worker*, Unmet> set_aside_;  // of what is free, for gangs, in a pass
+  std::unordered_map<const agent::Worker*, Unmet>
+      promised_;  // of what is being made free, in a pass
+  std::unordered_map<const agent::Worker*, Unmet>
+      set_aside_;  // of what is free, for gangs, in a pass
   double cheapest_ = 1;
   int evictions_ = 0;
   double stops_left_ = 0, stops_at_ = 0;  // that arrays may make room with, and when that was
@@ -290,7 +238,6 @@
   double backoff_until_ = 0, next_place_ = 0;
   double next_fallback_ = 0;
   double last_answer_ = -1e9, next_test_ = 0;  // of any machine; when some are asked again
-  size_t turn_ = 0;                            // of the views and addresses that are told again
   bool all_unreachable_ = false;               // no zone answered this node when it asked
   bool suspects_itself_ = false, placement_requested_ = false;
 };
