--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -1,57 +1,83 @@
-// The deterministic core of a controller: commands and the time in, effects out. No I/O.
+// The deterministic core of a controller: commands and the time in, effects out. It does no I/O.
 #pragma once
 
 #include <cstdint>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "rooksill/api/user_requests.h"
+#include "rooksill/controller/heartbeat_sender.h"
+#include "rooksill/controller/load_log.h"
+#include "rooksill/controller/machine_status_publisher.h"
 #include "rooksill/fleet/fleet.h"
 #include "rooksill/leader/leader.h"
+#include "rooksill/leader/machine_status_table.h"
 #include "rooksill/membership/cancellations.h"
 #include "rooksill/membership/peers.h"
 #include "rooksill/membership/upgrade.h"
-#include "rooksill/model/coordination.h"
 #include "rooksill/partition/partition_owner.h"
+#include "rooksill/runtime/commands.h"
 #include "rooksill/runtime/context.h"
+#include "rooksill/runtime/effects.h"
+#include "rooksill/runtime/interval_timer.h"
 #include "rooksill/store/client.h"
 #include "rooksill/store/committer.h"
 #include "rooksill/store/replica.h"
 #include "rooksill/store/replica_sync.h"
+#include "rooksill/wire/controller_messages.h"
 
 namespace rooksill::controller {
 
+// Holds the parts of a controller and runs them in a fixed order. Each part keeps its own state;
+// what they know of the cluster they share through the replica of the store.
 class Controller {
  public:
-  // `wall` at the start becomes part of the incarnation.
-  Controller(const Settings& settings, uint64_t seed, double wall, bool debug);
+  // `wall` is the time of the start, in seconds since the Unix epoch; it becomes part of the
+  // incarnation. Keeps a reference to `settings`, which must outlive it.
+  Controller(const Settings& settings, uint64_t seed, double wall, bool debug_log);
 
-  // Works through a batch; what is to be done outside is then in effects().
+  // Works through a batch of commands; what is to be done outside is then in effects(). Has to be
+  // called at least every kTick seconds, if need be with a runtime::Tick alone.
   void run(const std::vector<runtime::Command>& batch, runtime::Time now);
-  runtime::Effects& effects() { return ctx_.out; }
+  // The caller carries these out and clears them before the next batch.
+  runtime::Effects& effects() { return context_.effects(); }
 
-  static constexpr double kTick = 0.05;  // longest pause between two batches
+  static constexpr double kTick = 0.05;  // longest time between two batches, in seconds
 
+  // Whether load balancers should send users here.
   bool ready() const;
   bool leading() const { return leader_.leading(); }
   const store::Replica& replica() const { return replica_; }
 
  private:
-  void on_request(const runtime::Request& r);
-  void on_peer(const runtime::PeerMessage& m);
+  // Commands.
   void detect_pause(runtime::Time now);
-  void tick();
-  void write_liveness_record();
-  void status_from_store();
-  bool store_answers() const;
-  void send_heartbeat();
-  void log_counters();
-  void publish_statuses();
-  void take_statuses(const std::string& label, std::vector<wire::MachineStatus> machines);
-  void forget_statuses();
+  void handle_commands(const std::vector<runtime::Command>& batch);
+  void handle_request(const runtime::Request& request);
+  void reply_readiness(const runtime::Request& request);
+  void handle_peer_lost(const runtime::PeerLost& lost);
+  void handle_peer_message(const runtime::PeerMessage& message);
+  // Unpacks the envelope's payload and passes it on with the sender's label; drops malformed ones.
+  template <typename Message>
+  void unpack_and_handle(const wire::Envelope& envelope);
+  void handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat);
+  void handle_message(const std::string& sender, wire::MachineStatusUpdate update);
+  void handle_message(const std::string& sender, const wire::Updates& updates);
+  void handle_message(const std::string& sender, const wire::Cancelled& cancelled);
+  void handle_message(const std::string& sender, const wire::RoutingUpdate& routing);
+  void handle_message(const std::string& sender, const wire::UnassignedMachine& machine);
 
-  runtime::Context ctx_;
+  // Steps of a batch after its commands.
+  void forward_unassigned_machine();
+  void run_timed_steps();
+  void run_leader_steps();
+  void route_accepted_jobs();
+  void process_replica_changes();
+  void broadcast_updates();
+
+  bool better_served_elsewhere() const;
+
+  runtime::Context context_;
   store::Replica replica_;
   store::Client client_;
   store::Committer committer_;
@@ -62,13 +88,12 @@
   partition::PartitionOwner owner_;
   fleet::Fleet fleet_;
   leader::Leader leader_;
+  leader::MachineStatusTable machine_statuses_;
   api::UserRequests user_requests_;
-  // What owners say of their machines; gathered by the leader.
-  wire::MachineStatusMap statuses_;
-  std::unordered_map<std::string, std::string> published_by_;  // machine -> label
-  model::Leadership published_to_;  // the leader that all views of this node were told to
-  double next_heartbeat_ = 0, next_leader_ = 0, next_timeout_check_ = 0, next_counts_ = 0;
-  double next_liveness_write_ = 0, next_store_statuses_ = 0;
+  HeartbeatSender heartbeat_sender_;
+  MachineStatusPublisher status_publisher_;
+  LoadLog load_log_;
+  runtime::IntervalTimer timeout_check_timer_, heartbeat_timer_, leader_timer_, store_status_timer_;
 };
 
 }  // namespace rooksill::controller
--- /dev/null
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -0,0 +1,55 @@
+#include "rooksill/controller/heartbeat_sender.h"
+
+#include "rooksill/model/coordination.h"
+#include "rooksill/wire/controller_messages.h"
+#include "rooksill/wire/store_codec.h"
+
+namespace rooksill::controller {
+
+namespace {
+// For how many report intervals the store may go without an answer, if its last call failed, before
+// it counts as not answering.
+constexpr double kStoreSilenceReports = 0.5;
+}  // namespace
+
+bool HeartbeatSender::store_answers() const {
+  const double store_age = context_.now.steady - client_.last_answer();
+  return client_.healthy() ||
+         store_age < context_.settings.platform.report_s * kStoreSilenceReports;
+}
+
+void HeartbeatSender::send_heartbeat() {
+  wire::ControllerHeartbeat heartbeat;
+  heartbeat.ready = replica_.synced;
+  heartbeat.store_ok = store_answers();
+  heartbeat.store_age = context_.now.steady - client_.last_answer();
+  heartbeat.suspects_itself = owner_.suspects_itself();
+  heartbeat.term = leader_.term();
+  heartbeat.addresses = owner_.take_addresses();
+  heartbeat.unreachable_zones = owner_.unreachable_zones();
+  heartbeat.quota_use = owner_.quota_use();
+  cancellations_.fill(heartbeat);
+  peers_.broadcast(wire::PeerKind::kHeartbeat, wire::pack(heartbeat));
+}
+
+void HeartbeatSender::write_liveness_record() {
+  const double now = context_.now.steady;
+  if (!liveness_timer_.expired(now) || !replica_.synced || !store_answers()) return;
+  const auto recipients = peers_.owed(replica_);
+  if (recipients.empty()) return;
+  model::LivenessRecord record;
+  record.incarnation = context_.incarnation;
+  record.suspects_itself = owner_.suspects_itself();
+  record.meant_for = recipients;
+  record.silent = owner_.silent_machines();
+  record.unreachable_zones = owner_.unreachable_zones();
+  const auto key = wire::liveness_key(context_.settings.platform.label);
+  // An outcome is not needed: the next record replaces this one.
+  const bool sent = committer_.commit({}, {{key, wire::encode_liveness(record), 0}},
+                                      [](const store::TransactionResult&) {});
+  if (!sent) return;
+  context_.count("liveness_records");
+  liveness_timer_.restart(now, peers_.liveness_interval());
+}
+
+}  // namespace rooksill::controller
--- /dev/null
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -0,0 +1,72 @@
+#include "rooksill/leader/machine_status_table.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <utility>
+
+#include "rooksill/model/machine.h"
+
+namespace rooksill::leader {
+
+bool MachineStatusTable::owns_machine(const std::string& label, const std::string& machine) const {
+  const model::Machine* known = replica_.machine(machine);
+  return known != nullptr && replica_.leases[static_cast<size_t>(known->partition)].owner == label;
+}
+
+void MachineStatusTable::record(const std::string& publisher,
+                                std::vector<wire::MachineStatus> machines) {
+  for (wire::MachineStatus& status : machines) {
+    if (!owns_machine(publisher, status.name)) continue;
+    const std::string name = status.name;
+    statuses_[name] = {std::move(status), publisher};
+  }
+}
+
+void MachineStatusTable::remove_outdated() {
+  std::erase_if(statuses_, [this](const auto& entry) {
+    return !owns_machine(entry.second.publisher, entry.first);
+  });
+}
+
+void MachineStatusTable::derive_from_store() {
+  static const std::vector<std::string> kNoneSilent;
+  for (size_t partition = 0; partition < replica_.leases.size(); ++partition) {
+    const std::string& owner = replica_.leases[partition].owner;
+    const bool is_self = owner == context_.settings.platform.label;
+    if (is_self || peers_.heard(owner) || !peers_.alive(owner)) continue;
+    const auto record = replica_.liveness_records.find(owner);
+    const std::vector<std::string>& silent =
+        record == replica_.liveness_records.end() ? kNoneSilent : record->second.silent;
+    for (const store::MachinePage& page : replica_.pages[partition])
+      for (const std::string& name : page.names) derive_status(owner, silent, name);
+  }
+}
+
+void MachineStatusTable::derive_status(const std::string& owner,
+                                       const std::vector<std::string>& silent,
+                                       const std::string& name) {
+  const model::Machine& machine = *replica_.machine(name);
+  const auto type = replica_.types.find(machine.type);
+  if (type == replica_.types.end()) return;
+  const model::Resources& capacity = type->second.capacity;
+  const store::MachineLoad& load = replica_.load(name);
+  const model::Resources free = capacity - load.used;
+  const double machine_age = context_.now.wall - machine.rented;
+
+  wire::PublishedStatus& status = statuses_[name];
+  status.publisher = owner;
+  status.name = name;
+  status.up = status.up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
+  // The owner cannot be asked to drain it and could not say that it is empty.
+  status.draining = false;
+  status.silent = std::find(silent.begin(), silent.end(), name) != silent.end();
+  status.cpus_free = status.up && !status.silent ? free.cpus : 0;
+  status.gpus_free = free.gpus;
+  status.memory_free = free.memory_gb;
+  status.tasks = static_cast<uint32_t>(load.tasks.size());
+  status.load = std::max(capacity.cpus > 0 ? load.used.cpus / capacity.cpus : 0,
+                         capacity.memory_gb > 0 ? load.used.memory_gb / capacity.memory_gb : 0);
+}
+
+}  // namespace rooksill::leader
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -41,7 +41,7 @@
   e.incarnation = ctx_.incarnation;
   e.sequence = ++seq_;
   e.payload = payload;
-  ctx_.out.peer.push_back({label, wire::pack(e)});
+  ctx_.send_to_peer(label, wire::pack(e));
 }
 
 void Peers::broadcast(wire::PeerKind kind, const std::string& payload) {
--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -12,6 +12,7 @@
 #include "rooksill/net/http_parser.h"
 #include "rooksill/net/loop.h"
 #include "rooksill/net/socket.h"
+#include "rooksill/runtime/commands.h"
 #include "rooksill/runtime/effects.h"
 
 namespace rooksill::net {
--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -1,4 +1,5 @@
-// What the parts of the core share: the time, the effects being gathered, calls under way.
+// What all parts of the controller's core share: settings, time, randomness, and the way to
+// effects.
 #pragma once
 
 #include <fmt/format.h>
@@ -7,79 +8,84 @@
 #include <map>
 #include <random>
 #include <string>
-#include <unordered_map>
 #include <utility>
 
+#include "rooksill/runtime/commands.h"
+#include "rooksill/runtime/counters.h"
 #include "rooksill/runtime/effects.h"
+#include "rooksill/runtime/pending_calls.h"
 #include "rooksill/settings/settings.h"
 
 namespace rooksill::runtime {
 
+// One per process. The core is deterministic: with the same settings, seed and batches of commands
+// it has the same effects. Nothing in it may read a clock or draw random numbers elsewhere.
 class Context {
  public:
-  Context(const Settings& s, uint64_t seed)
-      : settings(s), rng(seed), incarnation((rng() >> 1) | 1) {}
+  // Keeps a reference to `process_settings`, which must outlive it.
+  Context(const Settings& process_settings, uint64_t seed)
+      : settings(process_settings), rng(seed), incarnation((rng() >> 1) | 1) {}
 
+  // Makes an HTTP call. `handler` runs exactly once, when its outcome comes.
   void call(Target target, std::string address, std::string method, std::string path,
             std::string body, double timeout_s, CallHandler handler) {
-    Call c{next_call_++,    target,          std::move(address), std::move(method),
-           std::move(path), std::move(body), timeout_s};
-    handlers_.emplace(c.id, UnderWay{std::move(handler), now.steady + timeout_s + kLateAnswer});
-    out.calls.push_back(std::move(c));
+    const uint64_t id = pending_calls_.add(now.steady, timeout_s, std::move(handler));
+    effects_.calls.push_back({id, target, std::move(address), std::move(method), std::move(path),
+                              std::move(body), timeout_s});
   }
+  void finish_call(const CallDone& done) { pending_calls_.finish(now.steady, done); }
 
-  void finish(const CallDone& done) {
-    auto it = handlers_.find(done.id);
-    if (it == handlers_.end()) return;
-    UnderWay call = std::move(it->second);
-    handlers_.erase(it);
-    // Guards against a process that stood still: an answer that waited longer than it would have
-    // been waited for says what was true then, and nothing about now.
-    if (now.steady > call.until) return call.handler({done.id, 0, "", false});
-    call.handler(done);
+  // Answers a request. `retry_after_s` goes into the Retry-After header; 0: no such header.
+  void reply(uint64_t request, int status, std::string body, double retry_after_s = 0) {
+    effects_.replies.push_back({request, status, std::move(body), retry_after_s});
   }
 
-  void reply(uint64_t request, int status, std::string body, double retry_after_s = 0) {
-    out.replies.push_back({request, status, std::move(body), retry_after_s});
+  void send_to_peer(const std::string& label, std::string bytes) {
+    effects_.peer.push_back({label, std::move(bytes)});
   }
 
   template <typename... Args>
-  void info(std::string component, fmt::format_string<Args...> f, Args&&... args) {
-    out.log.push_back(
-        {LogLine::Level::kInfo, std::move(component), fmt::format(f, std::forward<Args>(args)...)});
+  void info(std::string component, fmt::format_string<Args...> format, Args&&... args) {
+    log(LogLine::Level::kInfo, std::move(component),
+        fmt::format(format, std::forward<Args>(args)...));
   }
   template <typename... Args>
-  void debug(std::string component, fmt::format_string<Args...> f, Args&&... args) {
-    if (!debug_on) return;
-    out.log.push_back({LogLine::Level::kDebug, std::move(component),
-                       fmt::format(f, std::forward<Args>(args)...)});
+  void debug(std::string component, fmt::format_string<Args...> format, Args&&... args) {
+    if (!debug_log_) return;
+    log(LogLine::Level::kDebug, std::move(component),
+        fmt::format(format, std::forward<Args>(args)...));
   }
+  void enable_debug_log(bool enabled) { debug_log_ = enabled; }
 
-  // What was done, by name; told at intervals in the log.
-  void count(const char* what, double n = 1) { counts[what] += n; }
+  // Adds to a named counter; all counters are logged at intervals.
+  void count(const char* counter, double amount = 1) { counters_.add(counter, amount); }
+  std::map<std::string, double> take_counters() { return counters_.take(); }
 
+  // A random number in [low, high).
   double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(rng);
   }
 
+  // What the present batch has led to so far.
+  Effects& effects() { return effects_; }
+
   const Settings& settings;
-  Time now;
-  Effects out;
+  Time now;  // of the present batch
   std::mt19937_64 rng;
+  // Tells this process from earlier and later ones of the same controller; grows with each start.
   uint64_t incarnation;
-  double resumed_at =
-      -1e9;  // when this process last went on after standing still, by the steady clock
-  bool debug_on = false;
-  std::map<std::string, double> counts;
+  // When this process last went on after it stood still, in steady seconds.
+  double resumed_at = -1e9;
 
  private:
-  struct UnderWay {
-    CallHandler handler;
-    double until = 0;
-  };
-  static constexpr double kLateAnswer = 0.5;  // s beyond its time that an answer still counts
-  uint64_t next_call_ = 1;
-  std::unordered_map<uint64_t, UnderWay> handlers_;
+  void log(LogLine::Level level, std::string component, std::string text) {
+    effects_.log.push_back({level, std::move(component), std::move(text)});
+  }
+
+  Effects effects_;
+  PendingCalls pending_calls_;
+  Counters counters_;
+  bool debug_log_ = false;
 };
 
 }  // namespace rooksill::runtime
--- a/src/rooksill/runtime/effects.h
+++ b/src/rooksill/runtime/effects.h
@@ -1,47 +1,55 @@
-// What goes into the core (commands) and what comes out of it (effects). The core does no I/O.
+// Effects: everything that the controller's core wants done outside. The core itself does no I/O;
+// the event loop, or the simulation in its place, carries them out after each batch.
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <string>
-#include <variant>
 #include <vector>
 
 namespace rooksill::runtime {
 
-// ---- effects -------------------------------------------------------------------------------
-
+// Who is called. The HTTP client keeps sockets for the first two when workers take up the rest.
 enum class Target { kState, kCloud, kWorker };
 
+// An HTTP call. Its outcome comes back as a CallDone with the same id.
 struct Call {
   uint64_t id = 0;
   Target target = Target::kState;
-  std::string address, method, path, body;
+  std::string address;  // host:port
+  std::string method;
+  std::string path;
+  std::string body;  // JSON
   double timeout_s = 1;
 };
 
+// The answer to a Request.
 struct Reply {
   uint64_t request = 0;
   int status = 200;
-  std::string body;
-  double retry_after_s = 0;  // 0: no such header
+  std::string body;          // JSON
+  double retry_after_s = 0;  // for the Retry-After header; 0: no such header
 };
 
+// A message to another controller. It may be lost.
 struct PeerSend {
   std::string label;
-  std::string bytes;
+  std::string bytes;  // a packed wire::Envelope
 };
 
 struct LogLine {
-  enum class Level { kError, kInfo, kDebug } level = Level::kInfo;
-  std::string component, text;
+  enum class Level { kError, kInfo, kDebug };
+  Level level = Level::kInfo;
+  std::string component;
+  std::string text;
 };
 
+// What one batch of commands led to, each kind in the order in which it was decided.
 struct Effects {
   std::vector<Call> calls;
   std::vector<Reply> replies;
   std::vector<PeerSend> peer;
   std::vector<LogLine> log;
+
   void clear() {
     calls.clear();
     replies.clear();
@@ -50,37 +58,4 @@
   }
 };
 
-// ---- commands ------------------------------------------------------------------------------
-
-struct Request {  // a user's, a worker's or a health check's
-  uint64_t id = 0;
-  std::string method, target, body;
-};
-
-struct CallDone {
-  uint64_t id = 0;
-  int status = 0;  // 0: no answer
-  std::string body;
-  bool refused = false;  // the connection was never made, so nothing was sent
-};
-
-struct PeerMessage {
-  std::string bytes;
-};
-
-struct PeerLost {  // a connection to this peer ended or was refused
-  std::string label;
-};
-
-struct Tick {};
-
-using Command = std::variant<Request, CallDone, PeerMessage, PeerLost, Tick>;
-
-struct Time {
-  double steady = 0;  // seconds, never goes back
-  double wall = 0;    // seconds since the revision, within the clocks' bound
-};
-
-using CallHandler = std::function<void(const CallDone&)>;
-
 }  // namespace rooksill::runtime
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "rooksill/model/identifiers.h"
-#include "rooksill/runtime/effects.h"
+#include "rooksill/runtime/pending_calls.h"
 #include "rooksill/settings/settings.h"
 
 namespace rooksill::store {
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -38,7 +38,12 @@
   bool operator==(const MachineStatus&) const = default;
 };
 
-using MachineStatusMap = std::unordered_map<std::string, MachineStatus>;
+// A machine's status with the label of the controller that published it.
+struct PublishedStatus : MachineStatus {
+  std::string publisher;
+};
+
+using MachineStatusMap = std::unordered_map<std::string, PublishedStatus>;
 
 // To the leader: only what has changed, and some of the rest in turn, so that what was lost on the
 // way is made good.
