--- a/tests/runner/codecs.cc
+++ b/tests/runner/codecs.cc
@@ -81,7 +81,7 @@
   for (const auto& l : lines) {
     if (l.word(0) == "kind") continue;
     const int rounds = static_cast<int>(l.get("rounds", 2000));
-    const std::string what = l.word(0);
+    const std::string& what = l.word(0);
     int taken = 0;
     for (int i = 0; i < rounds; ++i) {
       std::string text = what == "report"    ? report
--- a/tests/runner/line.cc
+++ b/tests/runner/line.cc
@@ -6,51 +6,84 @@
 
 namespace runner {
 
-std::string Line::word(size_t i) const {
-  if (i >= words.size()) throw Failure("line " + std::to_string(number) + ": too short");
+namespace {
+
+double parse_number(const Line& line, const std::string& text) {
+  size_t used = 0;
+  double number = 0;
+  try {
+    number = std::stod(text, &used);
+  } catch (const std::logic_error&) {
+    used = 0;
+  }
+  if (used == 0 || used != text.size()) fail(line, "'" + text + "' is no number");
+  return number;
+}
+
+Line parse_line(int number, const std::string& text) {
+  Line line;
+  line.number = number;
+  std::istringstream words(text.substr(0, text.find('#')));
+  for (std::string word; words >> word;) {
+    const auto equals = word.find('=');
+    if (equals != std::string::npos && equals > 0)
+      line.parameters[word.substr(0, equals)] = word.substr(equals + 1);
+    else
+      line.words.push_back(word);
+  }
+  return line;
+}
+
+}  // namespace
+
+const std::string& Line::word(size_t i) const {
+  if (i >= words.size())
+    fail(*this, (words.empty() ? "it" : "'" + words.back() + "'") + " lacks a word after it");
   return words[i];
 }
 
-double Line::number_at(size_t i) const { return std::stod(word(i)); }
+double Line::number_at(size_t i) const { return parse_number(*this, word(i)); }
+
+int Line::integer_at(size_t i) const { return static_cast<int>(number_at(i)); }
 
 double Line::get(const std::string& name, double otherwise) const {
-  auto it = named.find(name);
-  return it == named.end() ? otherwise : std::stod(it->second);
+  auto it = parameters.find(name);
+  return it == parameters.end() ? otherwise : parse_number(*this, it->second);
+}
+
+int Line::get_integer(const std::string& name, int otherwise) const {
+  return static_cast<int>(get(name, otherwise));
 }
 
 std::string Line::text(const std::string& name, const std::string& otherwise) const {
-  auto it = named.find(name);
-  return it == named.end() ? otherwise : it->second;
+  auto it = parameters.find(name);
+  return it == parameters.end() ? otherwise : it->second;
+}
+
+Line Line::without_words(size_t count) const {
+  if (count > words.size()) fail(*this, "too short");
+  Line rest = *this;
+  rest.words.erase(rest.words.begin(), rest.words.begin() + static_cast<std::ptrdiff_t>(count));
+  return rest;
 }
 
-std::vector<std::string> split(const std::string& s, char c) {
-  std::vector<std::string> out;
-  std::istringstream in(s);
-  for (std::string part; std::getline(in, part, c);) out.push_back(part);
-  return out;
+std::vector<std::string> split(const std::string& text, char separator) {
+  std::vector<std::string> parts;
+  std::istringstream in(text);
+  for (std::string part; std::getline(in, part, separator);) parts.push_back(part);
+  return parts;
 }
 
 std::vector<Line> parse(const std::string& path) {
   std::ifstream in(path);
   if (!in) throw Failure(path + ": cannot be read");
-  std::vector<Line> out;
+  std::vector<Line> lines;
   int number = 0;
   for (std::string text; std::getline(in, text);) {
-    ++number;
-    text = text.substr(0, text.find('#'));
-    Line line;
-    line.number = number;
-    std::istringstream words(text);
-    for (std::string w; words >> w;) {
-      auto eq = w.find('=');
-      if (eq != std::string::npos && eq > 0)
-        line.named[w.substr(0, eq)] = w.substr(eq + 1);
-      else
-        line.words.push_back(w);
-    }
-    if (!line.words.empty()) out.push_back(line);
+    Line line = parse_line(++number, text);
+    if (!line.words.empty()) lines.push_back(std::move(line));
   }
-  return out;
+  return lines;
 }
 
 void fail(const Line& line, const std::string& why) {
--- a/tests/runner/settings.cc
+++ b/tests/runner/settings.cc
@@ -27,11 +27,11 @@
 }
 
 void check(const Line& line, const rooksill::PlatformSettings& s) {
-  if (line.named.count("is.value_bytes") != 0)
+  if (line.parameters.count("is.value_bytes") != 0)
     near(line, static_cast<double>(s.state_value_bytes), line.get("is.value_bytes", 0), 0);
-  if (line.named.count("is.txn_ops") != 0)
+  if (line.parameters.count("is.txn_ops") != 0)
     near(line, static_cast<double>(s.state_txn_ops), line.get("is.txn_ops", 0), 0);
-  if (line.named.count("is.next_write_rps") != 0)
+  if (line.parameters.count("is.next_write_rps") != 0)
     near(line, s.state_next_write_rps, line.get("is.next_write_rps", 0), 0);
 }
 
@@ -42,7 +42,7 @@
     const std::string verb = line.word(0);
     if (verb == "kind") continue;
     auto settings = nlohmann::json::parse(kSettings);
-    for (const auto& [field, value] : line.named) {
+    for (const auto& [field, value] : line.parameters) {
       if (field.rfind("is.", 0) == 0) continue;
       if (value == "drop")
         settings = settings.patch({{{"op", "remove"}, {"path", pointer(field).to_string()}}});
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -37,21 +37,23 @@
       in.c2 = l.get("c2", 3);
       in.h = l.get("h", 1);
       const auto out = p::size_fleet(in);
-      if (l.named.count("u") != 0) near(l, out.u, l.get("u", 0), 0);
-      if (l.named.count("at_least") != 0 && out.u < l.get("at_least", 0))
+      if (l.parameters.count("u") != 0) near(l, out.u, l.get("u", 0), 0);
+      if (l.parameters.count("at_least") != 0 && out.u < l.get("at_least", 0))
         fail(l, "u is " + std::to_string(out.u));
-      if (l.named.count("at_most") != 0 && out.u > l.get("at_most", 0))
+      if (l.parameters.count("at_most") != 0 && out.u > l.get("at_most", 0))
         fail(l, "u is " + std::to_string(out.u));
-      if (l.named.count("cost") != 0) near(l, out.cost, l.get("cost", 0), l.get("within", 1e-6));
+      if (l.parameters.count("cost") != 0)
+        near(l, out.cost, l.get("cost", 0), l.get("within", 1e-6));
     } else if (verb == "period") {
       demand.arrived(l.get("arrived", 0));
       demand.finished(l.get("finished", 0));
       demand.busy(l.get("busy", 0), 1);
       demand.end_period(1, l.get("cap", 3));
     } else if (verb == "demand") {
-      if (l.named.count("lambda") != 0)
+      if (l.parameters.count("lambda") != 0)
         near(l, demand.lambda(), l.get("lambda", 0), l.get("within", 1e-6));
-      if (l.named.count("mu") != 0) near(l, demand.mu(), l.get("mu", 0), l.get("within", 1e-6));
+      if (l.parameters.count("mu") != 0)
+        near(l, demand.mu(), l.get("mu", 0), l.get("within", 1e-6));
     } else if (verb != "kind") {
       fail(l, "unknown word " + verb);
     }
--- /dev/null
+++ b/tests/runner/world_actions.cc
@@ -0,0 +1,262 @@
+#include "runner/world_actions.h"
+
+#include <algorithm>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "runner/job_line.h"
+#include "runner/verb_table.h"
+#include "runner/world_expectations.h"
+
+namespace runner {
+
+using standins::CutMode;
+using standins::FaultInjector;
+using standins::Link;
+using standins::UserJob;
+using standins::World;
+
+namespace {
+
+// ---- parameters that several actions have --------------------------------------------------
+
+double duration(const Line& line) { return line.get("for", 5); }
+
+int count(const Line& line) { return line.get_integer("count", 1); }
+
+double chance(const Line& line) { return line.get("chance", 0.3); }
+
+CutMode cut_mode(const Line& line) {
+  const std::string mode = line.text("mode", "hold");
+  if (mode == "hold") return CutMode::kHold;
+  if (mode == "drop") return CutMode::kDrop;
+  fail(line, "unknown mode '" + mode + "'");
+}
+
+Link cut_link(const Line& line) {
+  const std::string link = line.text("from", "all");
+  if (link == "state") return Link::kStore;
+  if (link == "cloud") return Link::kCloud;
+  if (link == "workers") return Link::kWorkers;
+  if (link == "peers") return Link::kPeers;
+  if (link == "all") return Link::kAll;
+  fail(line, "unknown link '" + link + "'");
+}
+
+// A controller's number, `leader`, or `other`: the one after the leader.
+size_t controller_at(const World& world, const Line& line, size_t word) {
+  const size_t leader = world.cluster().leader().value_or(0);
+  const std::string& name = line.word(word);
+  if (name == "leader") return leader;
+  if (name == "other") return (leader + 1) % world.controllers();
+  const int number = line.integer_at(word);
+  if (number < 0 || static_cast<size_t>(number) >= world.controllers())
+    fail(line, "no controller '" + name + "'");
+  return static_cast<size_t>(number);
+}
+
+// One controller after the other, `every=` seconds apart.
+void for_each_controller(World& world, const Line& line,
+                         const std::function<void(size_t controller)>& action) {
+  for (size_t i = 0; i < world.controllers(); ++i)
+    world.events().after(static_cast<double>(i) * line.get("every", 5), [action, i] { action(i); });
+}
+
+// ---- users ---------------------------------------------------------------------------------
+
+void submit(World& world, const Line& line) {
+  const int first = line.integer_at(1);
+  for (int i = 0; i < count(line); ++i)
+    world.events().after(
+        i * line.get("every", 0.05),
+        [&world, job = read_job(line, job_id(first + i))] { world.users().submit(job); });
+}
+
+void cancel(World& world, const Line& line) { world.users().cancel(job_id(line.integer_at(1))); }
+
+void cancel_now(World& world, const Line& line) {
+  world.faults().cancel_running_jobs(count(line), line.get("hang", 0));
+}
+
+void cancel_at_end(World& world, const Line& line) {
+  world.faults().cancel_on_completion(line.get("chance", 0.5), duration(line));
+}
+
+void odd_requests(World& world, const Line& line) {
+  world.faults().send_odd_requests(duration(line));
+}
+
+// ---- controllers ---------------------------------------------------------------------------
+
+// One, `all`, or `others`: all but the leader.
+void crash(World& world, const Line& line) {
+  const size_t size = world.controllers();
+  if (line.word(1) == "all") {
+    for (size_t i = 0; i < size; ++i) world.faults().crash(i, duration(line));
+  } else if (line.word(1) == "others") {
+    for (size_t i = 1; i < size; ++i)
+      world.faults().crash((world.cluster().leader().value_or(0) + i) % size, duration(line));
+  } else {
+    world.faults().crash(controller_at(world, line, 1), duration(line));
+  }
+}
+
+void roll(World& world, const Line& line) {
+  for_each_controller(world, line, [&world, down_s = duration(line)](size_t controller) {
+    world.faults().crash(controller, down_s);
+  });
+}
+
+void upgrade(World& world, const Line& line) {
+  for_each_controller(world, line, [&world, down_s = duration(line)](size_t controller) {
+    world.faults().upgrade(controller, down_s);
+  });
+}
+
+void upgrade_one(World& world, const Line& line) {
+  world.faults().upgrade(controller_at(world, line, 1), duration(line));
+}
+
+void downgrade(World& world, const Line& line) {
+  world.faults().downgrade(controller_at(world, line, 1), duration(line));
+}
+
+void freeze(World& world, const Line& line) {
+  world.faults().freeze(controller_at(world, line, 1), duration(line));
+}
+
+// ---- network -------------------------------------------------------------------------------
+
+void cut(World& world, const Line& line) {
+  world.faults().cut(controller_at(world, line, 1), cut_link(line), duration(line), cut_mode(line));
+}
+
+void machine_cut(World& world, const Line& line) {
+  world.faults().cut_machines(count(line), duration(line), cut_mode(line), line.text("zone", ""));
+}
+
+void zone_cut(World& world, const Line& line) {
+  world.faults().partition_zone(line.text("zone", "a"), controller_at(world, line, 1),
+                                duration(line), cut_mode(line));
+}
+
+void machine_deaf(World& world, const Line& line) {
+  world.faults().lose_machine_inbound(count(line), duration(line));
+}
+
+void machine_mute(World& world, const Line& line) {
+  world.faults().lose_machine_outbound(count(line), duration(line), line.text("zone", ""));
+}
+
+void lose(World& world, const Line& line) {
+  world.faults().lose_answers(chance(line), duration(line));
+}
+
+void late(World& world, const Line& line) {
+  world.faults().delay_requests(chance(line), line.get("by", 3), duration(line));
+}
+
+void late_writes(World& world, const Line& line) {
+  world.faults().delay_transactions(chance(line), line.get("by", 6), duration(line));
+}
+
+void late_commands(World& world, const Line& line) {
+  world.faults().delay_commands(chance(line), line.get("by", 6), duration(line));
+}
+
+void copies(World& world, const Line& line) {
+  world.faults().duplicate_heartbeats(chance(line), line.get("by", 20), duration(line));
+}
+
+// ---- store, cloud and machines -------------------------------------------------------------
+
+void state_outage(World& world, const Line& line) { world.faults().store_outage(duration(line)); }
+
+void state_slow(World& world, const Line& line) {
+  world.faults().slow_store(line.get("by", 0.8), duration(line));
+}
+
+void refuse(World& world, const Line& line) {
+  world.faults().refuse_at_store(controller_at(world, line, 1), duration(line));
+}
+
+void lower_limits(World& world, const Line&) { world.faults().lower_store_limits(); }
+
+void cloud_outage(World& world, const Line& line) { world.faults().cloud_outage(duration(line)); }
+
+void never_boot(World& world, const Line& line) { world.faults().never_boot(count(line)); }
+
+void capacity(World& world, const Line& line) {
+  world.faults().set_capacity(line.get_integer("to", 0));
+}
+
+void take(World& world, const Line& line) {
+  world.faults().reclaim_spot(line.get("share", 0.5), line.get("notice", 0));
+}
+
+void machine_hang(World& world, const Line& line) {
+  world.faults().hang_machines(count(line), duration(line));
+}
+
+void machine_fault(World& world, const Line& line) { world.faults().break_machines(count(line)); }
+
+// ---- table ---------------------------------------------------------------------------------
+
+void expect(World& world, const Line& line) { run_expectation(world, line.without_words(1)); }
+
+std::vector<std::string> submit_parameters() {
+  std::vector<std::string> parameters = job_parameters();
+  parameters.insert(parameters.end(), {"count", "every"});
+  return parameters;
+}
+
+const VerbTable<World>& actions() {
+  static const VerbTable<World> kActions(
+      "action", {
+                    {"submit", submit_parameters(), submit},
+                    {"cancel", {}, cancel},
+                    {"cancel_now", {"count", "hang"}, cancel_now},
+                    {"cancel_at_end", {"chance", "for"}, cancel_at_end},
+                    {"odd_requests", {"for"}, odd_requests},
+                    {"crash", {"for"}, crash},
+                    {"roll", {"every", "for"}, roll},
+                    {"upgrade", {"every", "for"}, upgrade},
+                    {"upgrade_one", {"for"}, upgrade_one},
+                    {"downgrade", {"for"}, downgrade},
+                    {"freeze", {"for"}, freeze},
+                    {"cut", {"from", "for", "mode"}, cut},
+                    {"machine_cut", {"count", "for", "mode", "zone"}, machine_cut},
+                    {"zone_cut", {"zone", "for", "mode"}, zone_cut},
+                    {"machine_deaf", {"count", "for"}, machine_deaf},
+                    {"machine_mute", {"count", "for", "zone"}, machine_mute},
+                    {"lose", {"chance", "for"}, lose},
+                    {"late", {"chance", "by", "for"}, late},
+                    {"late_writes", {"chance", "by", "for"}, late_writes},
+                    {"late_commands", {"chance", "by", "for"}, late_commands},
+                    {"copies", {"chance", "by", "for"}, copies},
+                    {"state_outage", {"for"}, state_outage},
+                    {"state_slow", {"by", "for"}, state_slow},
+                    {"refuse", {"for"}, refuse},
+                    {"lower_limits", {}, lower_limits},
+                    {"cloud_outage", {"for"}, cloud_outage},
+                    {"never_boot", {"count"}, never_boot},
+                    {"capacity", {"to"}, capacity},
+                    {"take", {"share", "notice"}, take},
+                    {"machine_hang", {"count", "for"}, machine_hang},
+                    {"machine_fault", {"count"}, machine_fault},
+                    {"expect", {}, expect},
+                });
+  return kActions;
+}
+
+}  // namespace
+
+void check_action(const Line& line) {
+  actions().check(line);
+  if (line.word(0) == "expect") check_expectation(line.without_words(1));
+}
+
+void run_action(World& world, const Line& line) { actions().run(world, line); }
+
+}  // namespace runner
--- /dev/null
+++ b/tests/runner/world_expectations.cc
@@ -0,0 +1,207 @@
+#include "runner/world_expectations.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "rooksill/wire/store_codec.h"
+#include "runner/job_line.h"
+#include "runner/verb_table.h"
+
+namespace runner {
+
+using standins::Outcome;
+using standins::Submission;
+using standins::UserJob;
+using standins::World;
+
+namespace {
+
+const UserJob& job_at(const World& world, const Line& line, size_t word) {
+  auto it = world.jobs().find(job_id(line.integer_at(word)));
+  if (it == world.jobs().end()) fail(line, "no job '" + line.word(word) + "' was submitted");
+  return it->second;
+}
+
+void expect_at_most(const Line& line, size_t word, uint64_t got) {
+  if (got > static_cast<uint64_t>(line.number_at(word))) fail(line, "got " + std::to_string(got));
+}
+
+void expect_at_least(const Line& line, size_t word, uint64_t got) {
+  if (got < static_cast<uint64_t>(line.number_at(word))) fail(line, "got " + std::to_string(got));
+}
+
+// ---- jobs ----------------------------------------------------------------------------------
+
+[[noreturn]] void fail_not_over(const World& world, const Line& line, const UserJob& job) {
+  fail(line, job.id() + " is not over: accepted " + std::to_string(job.accepted()) + ", " +
+                 std::to_string(world.ledger().running_tasks(job.id())) + " running");
+}
+
+bool is_open(const UserJob& job) {
+  return !job.is_over() && job.submission != Submission::kRejected;
+}
+
+void over(const World& world, const Line& line) {
+  for (const auto& [id, job] : world.jobs())
+    if (is_open(job) && job.submission != Submission::kGivenUp) fail_not_over(world, line, job);
+}
+
+void over_batch(const World& world, const Line& line) {
+  for (const auto& [id, job] : world.jobs())
+    if (is_open(job) && !job.workload.is_service()) fail_not_over(world, line, job);
+}
+
+const char* name_of(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::kDone:
+      return "done";
+    case Outcome::kCancelled:
+      return "cancelled";
+    case Outcome::kNone:
+      break;
+  }
+  return "nothing final";
+}
+
+void expect_outcome(const World& world, const Line& line, Outcome expected) {
+  const Outcome got = job_at(world, line, 1).outcome;
+  if (got != expected) fail(line, line.word(1) + " was told '" + name_of(got) + "'");
+}
+
+void done(const World& world, const Line& line) { expect_outcome(world, line, Outcome::kDone); }
+
+void withdrawn(const World& world, const Line& line) {
+  expect_outcome(world, line, Outcome::kCancelled);
+}
+
+void status(const World& world, const Line& line) {
+  const int got = job_at(world, line, 1).submit_status;
+  if (got != line.integer_at(2)) fail(line, "status " + std::to_string(got));
+}
+
+void running(const World& world, const Line& line) {
+  const int got = world.ledger().running_tasks(job_at(world, line, 1).id());
+  if (got != line.integer_at(2)) fail(line, std::to_string(got) + " running");
+}
+
+// Each replica of every service that nobody asked to cancel runs.
+void services_whole(const World& world, const Line& line) {
+  for (const auto& [id, job] : world.jobs()) {
+    if (!job.workload.is_service() || !job.accepted() || job.cancel_requested) continue;
+    const int got = world.ledger().running_tasks(id);
+    if (got != job.workload.tasks) fail(line, id + ": " + std::to_string(got) + " running");
+  }
+}
+
+void starts_at_most(const World& world, const Line& line) {
+  const std::string& id = job_at(world, line, 1).id();
+  expect_at_most(line, 2, static_cast<uint64_t>(world.ledger().starts_of(id)));
+}
+
+void starts_after_cancel_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, static_cast<uint64_t>(world.ledger().starts_after_cancel()));
+}
+
+// ---- machines ------------------------------------------------------------------------------
+
+void machines_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, static_cast<uint64_t>(world.fleet().alive()));
+}
+
+void machines_at_least(const World& world, const Line& line) {
+  expect_at_least(line, 1, static_cast<uint64_t>(world.fleet().alive()));
+}
+
+void sessions_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, world.fleet().max_agent_epoch());
+}
+
+// ---- store and controllers -----------------------------------------------------------------
+
+void requests_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, world.store().requests());
+}
+
+void refused_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, world.store().refused_requests());
+}
+
+void writes_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, world.store().writes());
+}
+
+void peer_bytes_at_most(const World& world, const Line& line) {
+  expect_at_most(line, 1, world.router().peer_bytes());
+}
+
+void leader(const World& world, const Line& line) {
+  if (!world.cluster().leader()) fail(line, "no controller leads");
+}
+
+void upgraded(const World& world, const Line& line) {
+  const bool got = world.store().has_upgrade_record();
+  if (got != (line.number_at(1) != 0)) fail(line, got ? "it is written" : "it is not written");
+}
+
+std::vector<nlohmann::json> partition_leases(const World& world) {
+  std::vector<nlohmann::json> leases;
+  for (int partition = 0; partition < static_cast<int>(world.controllers()); ++partition)
+    if (const auto* lease = world.store().value(rooksill::wire::lease_key(partition)))
+      leases.push_back(*lease);
+  return leases;
+}
+
+// No controller owns two partitions more than another.
+void even(const World& world, const Line& line) {
+  std::map<std::string, int> owned;
+  for (const auto& label : world.cluster().labels()) owned[label] = 0;
+  for (const auto& lease : partition_leases(world)) ++owned[lease.at("h").get<std::string>()];
+  const auto [least, most] = std::minmax_element(
+      owned.begin(), owned.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+  if (most->second > least->second + 1) fail(line, most->first + " owns too many partitions");
+}
+
+// Tokens rise with each lease of a partition.
+void token_at_most(const World& world, const Line& line) {
+  uint64_t highest = 0;
+  for (const auto& lease : partition_leases(world))
+    highest = std::max(highest, lease.at("t").get<uint64_t>());
+  expect_at_most(line, 1, highest);
+}
+
+const VerbTable<const World>& expectations() {
+  static const VerbTable<const World> kExpectations(
+      "expectation", {
+                         {"over", {}, over},
+                         {"over_batch", {}, over_batch},
+                         {"done", {}, done},
+                         {"withdrawn", {}, withdrawn},
+                         {"status", {}, status},
+                         {"running", {}, running},
+                         {"services_whole", {}, services_whole},
+                         {"starts_at_most", {}, starts_at_most},
+                         {"starts_after_cancel_at_most", {}, starts_after_cancel_at_most},
+                         {"machines_at_most", {}, machines_at_most},
+                         {"machines_at_least", {}, machines_at_least},
+                         {"sessions_at_most", {}, sessions_at_most},
+                         {"requests_at_most", {}, requests_at_most},
+                         {"refused_at_most", {}, refused_at_most},
+                         {"writes_at_most", {}, writes_at_most},
+                         {"peer_bytes_at_most", {}, peer_bytes_at_most},
+                         {"leader", {}, leader},
+                         {"upgraded", {}, upgraded},
+                         {"even", {}, even},
+                         {"token_at_most", {}, token_at_most},
+                     });
+  return kExpectations;
+}
+
+}  // namespace
+
+void check_expectation(const Line& line) { expectations().check(line); }
+
+void run_expectation(const World& world, const Line& line) { expectations().run(world, line); }
+
+}  // namespace runner
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -7,136 +7,164 @@
 using nlohmann::json;
 
 namespace {
-constexpr size_t kPage = 500;       // the protocol's most
-constexpr double kListEvery = 0.2;  // s between two states of the list
+
+constexpr size_t kMaxPage = 500;           // entries, by the protocol
+constexpr double kSnapshotInterval = 0.2;  // s between two states of the list
+constexpr double kBurstSeconds = 2;        // the request budget holds so many seconds' requests
+constexpr double kNever = 1e18;
+constexpr size_t kNameDigits = 6;
+
+// Empty if there is no such parameter.
+std::string query_parameter(const std::string& target, const std::string& name) {
+  const auto found = target.find(name + "=");
+  if (found == std::string::npos) return "";
+  const auto begin = found + name.size() + 1;
+  return target.substr(begin, target.find('&', begin) - begin);
+}
+
+const char* wire_status(const CloudMachine& machine) { return machine.up ? "running" : "booting"; }
+
 }  // namespace
 
 json Cloud::listing() const {
   json list = json::array();
-  for (const auto& [n, m] : machines) {
-    if (m.gone) continue;
-    list.push_back({{"id", n},
-                    {"address", m.address},
-                    {"build", m.type},
-                    {"ward", m.zone},
-                    {"loaners", m.spot},
-                    {"status", m.failed ? "failed"
-                               : m.up   ? "running"
-                                        : "booting"},
-                    {"held_s", last_ - m.rented}});
+  for (const auto& [name, machine] : machines) {
+    if (machine.gone) continue;
+    list.push_back({{"id", name},
+                    {"address", machine.address},
+                    {"build", machine.type},
+                    {"ward", machine.zone},
+                    {"loaners", machine.spot},
+                    {"status", wire_status(machine)},
+                    {"held_s", last_tick_ - machine.rented_at}});
   }
   return list;
 }
 
-std::string Cloud::page(const std::string& path) const {
-  auto word = [&](const std::string& name) -> std::string {
-    auto at = path.find(name + "=");
-    if (at == std::string::npos) return "";
-    at += name.size() + 1;
-    return path.substr(at, path.find('&', at) - at);
-  };
-  const std::string from = word("from");
-  const size_t most = word("most").empty() ? kPage : std::stoul(word("most"));
-  json list = json::array();
-  bool truncated = false;
-  for (const auto& m : lists_.front().second) {
-    if (m["id"].get<std::string>() <= from) continue;
-    truncated = list.size() >= std::min(most, kPage);
-    if (truncated) break;
-    list.push_back(m);
+void Cloud::tick(double now) {
+  for (auto& [name, machine] : machines) {
+    if (machine.gone || machine.up || now < machine.boots_at) continue;
+    machine.up = true;
+    booted.push_back(name);
   }
-  return json{{"perches", list}, {"truncated", truncated}}.dump();
+  refill_budget(now);
+  last_tick_ = now;
+  if (list_snapshots_.empty() || now - list_snapshots_.back().taken_at >= kSnapshotInterval)
+    list_snapshots_.push_back({now, listing()});
+  while (list_snapshots_.size() > 1 && list_snapshots_[1].taken_at <= now - list_lag_s_)
+    list_snapshots_.pop_front();
 }
 
-void Cloud::tick(double now) {
-  for (auto& [n, m] : machines)
-    if (!m.gone && !m.up && now >= m.boots_at) {
-      m.up = true;
-      booted.push_back(n);
-    }
-  for (const auto& [n, m] : machines) {
-    if (m.gone || m.failed) continue;
-    for (const auto& t : types)
-      if (t.name == m.type) cost += (now - last_) * (m.spot ? t.spot_price : t.price) / 3600;
-  }
-  if (tokens_ < 0) tokens_ = 2 * rps_;
-  tokens_ = std::min(2 * rps_, tokens_ + (now - last_) * rps_);
-  last_ = now;
-  if (lists_.empty() || now - lists_.back().first >= kListEvery)
-    lists_.emplace_back(now, listing());
-  while (lists_.size() > 1 && lists_[1].first <= now - lag_) lists_.pop_front();
+void Cloud::refill_budget(double now) {
+  const double full = kBurstSeconds * requests_per_s_;
+  if (request_budget_ < 0) request_budget_ = full;
+  request_budget_ = std::min(full, request_budget_ + (now - last_tick_) * requests_per_s_);
 }
 
-void Cloud::take(const std::string& name) {
+void Cloud::reclaim(const std::string& name) {
   auto it = machines.find(name);
   if (it == machines.end() || it->second.gone) return;
   it->second.gone = true;
   ended.push_back(name);
 }
 
-Answer Cloud::handle(double now, const std::string& method, const std::string& path,
-                     const std::string& body) {
+HttpAnswer Cloud::handle(double now, const HttpRequest& request) {
   tick(now);
   if (outage) return {503, "{\"error\":\"trouble\"}"};
-  if (tokens_ < 1) return {429, "{}"};
-  tokens_ -= 1;
-  if (method == "GET" && path == "/catalog") {
-    json list = json::array();
-    for (const auto& t : types)
-      list.push_back({{"label", t.name},
-                      {"cores", t.cpus},
-                      {"gpus", 0},
-                      {"memory_gb", t.memory_gb},
-                      {"local_gb", 60},
-                      {"pull_gb_per_s", t.fetch_gb_per_s},
-                      {"hourly", t.price},
-                      {"market_price", t.spot_price},
-                      {"ready_s", t.boot_s},
-                      {"wards", t.zones}});
-    return {200, json{{"builds", list}}.dump()};
-  }
-  if (method == "GET") return {200, page(path)};
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) return {400, "{}"};
-  if (path == "/hosts/release") {
-    for (const auto& n : j["perches"]) take(n.get<std::string>());
-    return {200, "{}"};
-  }
-  const auto request = j["hire"].get<std::string>();
-  auto known = answers_.find(request);
-  if (known != answers_.end()) {
-    return {200, known->second};
+  if (request_budget_ < 1) return {429, "{}"};
+  request_budget_ -= 1;
+  if (request.method == "GET")
+    return request.target == "/catalog" ? catalog() : list_page(request.target);
+  const json body = json::parse(request.body, nullptr, false);
+  if (!body.is_object()) return {400, "{}"};
+  return request.target == "/hosts/release" ? release(body) : rent(now, body);
+}
+
+HttpAnswer Cloud::catalog() const {
+  json list = json::array();
+  for (const auto& type : types)
+    list.push_back({{"label", type.name},
+                    {"cores", type.cpus},
+                    {"gpus", 0},
+                    {"memory_gb", type.memory_gb},
+                    {"local_gb", 60},
+                    {"pull_gb_per_s", type.fetch_gb_per_s},
+                    {"hourly", type.price},
+                    {"market_price", type.spot_price},
+                    {"ready_s", type.boot_s},
+                    {"wards", type.zones}});
+  return {200, json{{"builds", list}}.dump()};
+}
+
+HttpAnswer Cloud::list_page(const std::string& target) const {
+  const std::string after = query_parameter(target, "from");
+  const std::string limit = query_parameter(target, "most");
+  const size_t size = limit.empty() ? kMaxPage : std::min(kMaxPage, size_t{std::stoul(limit)});
+  json list = json::array();
+  bool truncated = false;
+  for (const auto& machine : list_snapshots_.front().machines) {
+    if (machine["id"].get<std::string>() <= after) continue;
+    truncated = list.size() >= size;
+    if (truncated) break;
+    list.push_back(machine);
   }
-  const auto type = j["build"].get<std::string>();
-  const auto zone = j["ward"].get<std::string>();
-  const bool spot = j["loaners"].get<bool>();
-  const TypeSpec* spec = nullptr;
-  for (const auto& t : types)
-    if (t.name == type && std::find(t.zones.begin(), t.zones.end(), zone) != t.zones.end())
-      spec = &t;
-  if (spec == nullptr) return {400, "{}"};
-  int used = 0;
-  for (const auto& [n, m] : machines)
-    if (!m.gone && m.type == type && m.zone == zone && m.spot == spot) ++used;
-  const int count = std::min(j["how_many"].get<int>(), spec->capacity - used);
+  return {200, json{{"perches", list}, {"truncated", truncated}}.dump()};
+}
+
+HttpAnswer Cloud::release(const json& request) {
+  for (const auto& name : request["perches"]) reclaim(name.get<std::string>());
+  return {200, "{}"};
+}
+
+HttpAnswer Cloud::rent(double now, const json& request) {
+  const auto request_id = request["hire"].get<std::string>();
+  const auto known = rent_answers_.find(request_id);
+  if (known != rent_answers_.end()) return {200, known->second};
+  const auto zone = request["ward"].get<std::string>();
+  const bool spot = request["loaners"].get<bool>();
+  const TypeSpec* type = find_type(request["build"].get<std::string>(), zone);
+  if (type == nullptr) return {400, "{}"};
+  const int free = type->capacity - rented(type->name, zone, spot);
+  const int count = std::min(request["how_many"].get<int>(), free);
   if (count <= 0) return {503, "{\"error\":\"no capacity\"}"};
   json names = json::array();
-  for (int i = 0; i < count; ++i) {
-    CloudMachine m;
-    std::string digits = std::to_string(next_++);
-    m.name = "n-" + std::string(6 - digits.size(), '0') + digits;
-    m.address = m.name + ":9000";
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
-    m.rented = now;
-    m.boots_at = never_boot > 0 ? 1e18 : now + spec->boot_s * (0.6 + 0.1 * (next_ % 9));
-    if (never_boot > 0) --never_boot;
-    names.push_back(m.name);
-    machines[m.name] = m;
-  }
-  answers_[request] = json{{"perches", names}}.dump();
-  return {200, answers_[request]};
+  for (int i = 0; i < count; ++i) names.push_back(add_machine(now, *type, zone, spot));
+  rent_answers_[request_id] = json{{"perches", names}}.dump();
+  return {200, rent_answers_[request_id]};
+}
+
+const TypeSpec* Cloud::find_type(const std::string& name, const std::string& zone) const {
+  const auto it = std::find_if(types.begin(), types.end(), [&](const TypeSpec& type) {
+    return type.name == name &&
+           std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
+  });
+  return it == types.end() ? nullptr : &*it;
+}
+
+int Cloud::rented(const std::string& type, const std::string& zone, bool spot) const {
+  int count = 0;
+  for (const auto& [name, machine] : machines)
+    if (!machine.gone && machine.type == type && machine.zone == zone && machine.spot == spot)
+      ++count;
+  return count;
+}
+
+std::string Cloud::add_machine(double now, const TypeSpec& type, const std::string& zone,
+                               bool spot) {
+  const std::string digits = std::to_string(next_machine_++);
+  CloudMachine machine;
+  machine.name = "n-" + std::string(kNameDigits - digits.size(), '0') + digits;
+  machine.address = machine.name + ":9000";
+  machine.type = type.name;
+  machine.zone = zone;
+  machine.spot = spot;
+  machine.rented_at = now;
+  // Boot times differ a little from machine to machine.
+  machine.boots_at =
+      never_boot > 0 ? kNever : now + type.boot_s * (0.6 + 0.1 * (next_machine_ % 9));
+  if (never_boot > 0) --never_boot;
+  machines[machine.name] = machine;
+  return machine.name;
 }
 
 }  // namespace standins
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -1,55 +1,72 @@
-// Stand-in for the cloud, written from the protocol.
+// Stand-in for the cloud that rents machines out, written from the protocol.
 #pragma once
 
 #include <deque>
 #include <map>
-#include <set>
+#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "standins/state_service.h"
+#include "standins/http_message.h"
 
 namespace standins {
 
 struct TypeSpec {
   std::string name;
-  double cpus = 16, memory_gb = 64, price = 1, spot_price = 0.4, boot_s = 3, fetch_gb_per_s = 1;
+  double cpus = 16, memory_gb = 64;
+  double price = 1, spot_price = 0.4;  // for an hour
+  double boot_s = 3, fetch_gb_per_s = 1;
   std::vector<std::string> zones;
-  int capacity = 10;  // for each zone and kind
+  int capacity = 10;  // machines in each zone, of spot and on-demand each
 };
 
 struct CloudMachine {
   std::string name, address, type, zone;
-  bool spot = false, up = false, failed = false, gone = false;
-  double rented = 0, boots_at = 0;
+  bool spot = false;
+  bool up = false, gone = false;  // booted; ended
+  double rented_at = 0, boots_at = 0;
 };
 
+// Grants machines while it has capacity, lists them with a lag, and limits the rate of requests.
 class Cloud {
  public:
-  Cloud(double rps, double lag) : rps_(rps), lag_(lag) {}
-  Answer handle(double now, const std::string& method, const std::string& path,
-                const std::string& body);
+  Cloud(double requests_per_s, double list_lag_s)
+      : requests_per_s_(requests_per_s), list_lag_s_(list_lag_s) {}
+
+  HttpAnswer handle(double now, const HttpRequest& request);
+  // Boots machines that are due and takes a new state of the list.
   void tick(double now);
-  void take(const std::string& name);
+  // Ends a machine, as at its release or when a spot machine is taken back.
+  void reclaim(const std::string& name);
 
   std::vector<TypeSpec> types;
   std::map<std::string, CloudMachine> machines;
-  std::vector<std::string> booted;  // since last looked at
-  std::vector<std::string> ended;
-  std::set<std::string> names_used;
-  std::vector<std::string> broken;
+  std::vector<std::string> booted, ended;  // names, until the reader empties the lists
   bool outage = false;
-  int never_boot = 0;  // the next so many machines stay booting
-  double cost = 0;
+  int never_boot = 0;  // so many of the next machines stay booting
 
  private:
+  void refill_budget(double now);
+  HttpAnswer catalog() const;
+  HttpAnswer list_page(const std::string& target) const;
+  HttpAnswer release(const nlohmann::json& request);
+  HttpAnswer rent(double now, const nlohmann::json& request);
+  const TypeSpec* find_type(const std::string& name, const std::string& zone) const;
+  int rented(const std::string& type, const std::string& zone, bool spot) const;
+  std::string add_machine(double now, const TypeSpec& type, const std::string& zone, bool spot);
   nlohmann::json listing() const;
-  std::string page(const std::string& path) const;
-  double rps_, lag_;
-  double tokens_ = -1, last_ = 0;
-  std::map<std::string, std::string> answers_;
-  std::deque<std::pair<double, nlohmann::json>> lists_;
-  int next_ = 1;
+
+  struct ListSnapshot {
+    double taken_at = 0;
+    nlohmann::json machines;
+  };
+
+  double requests_per_s_, list_lag_s_;
+  double request_budget_ = -1;  // -1: not filled yet
+  double last_tick_ = 0;
+  std::map<std::string, std::string> rent_answers_;  // by request ID: a repeat rents nothing
+  std::deque<ListSnapshot> list_snapshots_;          // the first is the one that is shown
+  int next_machine_ = 1;
 };
 
 }  // namespace standins
--- /dev/null
+++ b/tests/standins/end_of_day_checks.cc
@@ -0,0 +1,66 @@
+#include "standins/end_of_day_checks.h"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+
+namespace standins {
+
+namespace {
+
+constexpr double kMaxSilence = 75;          // s without an answer about a job
+constexpr double kMaxStartOfLargest = 240;  // s
+constexpr double kTooLateToCount = 45;      // s before the end
+constexpr double kLargestShare = 0.1;       // of a class
+
+}  // namespace
+
+void EndOfDayChecks::run(double faults_end) {
+  std::map<std::string, JobList> by_class, by_team;
+  for (const auto& [id, job] : jobs_) {
+    if (!job.accepted() || job.cancel_requested) continue;
+    check_answered(job, faults_end);
+    if (simulation_.now() - std::max(job.submitted_at, faults_end) < kTooLateToCount) continue;
+    by_class[job.job_class].push_back(&job);
+    by_team[job.team].push_back(&job);
+  }
+  for (const auto& [name, jobs] : by_team) check_served("team " + name, jobs);
+  for (const auto& [name, jobs] : by_class) check_class(name, jobs);
+}
+
+void EndOfDayChecks::check_answered(const UserJob& job, double faults_end) {
+  const double since = std::max({job.last_answered_at, job.submitted_at, faults_end});
+  if (simulation_.now() - since > kMaxSilence)
+    simulation_.violation("forgotten: nothing is answered about " + job.id());
+}
+
+void EndOfDayChecks::check_served(const std::string& group, const JobList& jobs) {
+  const auto served =
+      static_cast<size_t>(std::count_if(jobs.begin(), jobs.end(), [&](const UserJob* job) {
+        return ledger_.started_at(job->id()) >= 0;
+      }));
+  if (served * 2 < jobs.size())
+    simulation_.violation("unserved: " + std::to_string(served) + " of " +
+                          std::to_string(jobs.size()) + " of " + group);
+}
+
+void EndOfDayChecks::check_class(const std::string& name, const JobList& jobs) {
+  check_served("class " + name, jobs);
+  JobList largest = jobs;
+  std::stable_sort(largest.begin(), largest.end(), [](const UserJob* a, const UserJob* b) {
+    return a->workload.tasks > b->workload.tasks;
+  });
+  largest.resize(
+      static_cast<size_t>(std::ceil(kLargestShare * static_cast<double>(largest.size()))));
+  check_served("the largest of class " + name, largest);
+  for (const UserJob* job : largest) check_started_in_time(*job, name);
+}
+
+void EndOfDayChecks::check_started_in_time(const UserJob& job, const std::string& job_class) {
+  const double started_at = ledger_.started_at(job.id());
+  const double started_or_now = started_at >= 0 ? started_at : simulation_.now();
+  if (started_or_now - job.submitted_at > kMaxStartOfLargest)
+    simulation_.violation("late: " + job.id() + ", one of the largest of class " + job_class);
+}
+
+}  // namespace standins
--- /dev/null
+++ b/tests/standins/message_router.cc
@@ -0,0 +1,102 @@
+#include "standins/message_router.h"
+
+#include <memory>
+#include <string>
+
+#include "rooksill/wire/controller_messages.h"
+#include "standins/first_version.h"
+
+namespace standins {
+
+using rooksill::runtime::Call;
+using rooksill::runtime::CallDone;
+using rooksill::runtime::PeerMessage;
+using rooksill::runtime::PeerSend;
+using rooksill::runtime::Target;
+
+namespace {
+
+// Labels are "c0", "c1" and so on.
+size_t index_of(const std::string& label) { return std::stoul(label.substr(1)); }
+
+bool readable_by_first_version(const std::string& bytes) {
+  rooksill::wire::Envelope envelope;
+  return rooksill::wire::unpack(bytes, envelope) &&
+         envelope.version == rooksill::model::kFirstVersion;
+}
+
+}  // namespace
+
+void MessageRouter::on_peer_message(size_t from, const PeerSend& message) {
+  peer_bytes_ += message.bytes.size();
+  check_known_to_first_version(from, message.bytes);
+  const size_t to = index_of(message.label);
+  const auto arrives_at = network_.route_to_peer(from, to);
+  if (!arrives_at) return;
+  simulation_.events.at(*arrives_at, [this, to, bytes = message.bytes] {
+    if (cluster_.version(to) == ControllerVersion::kFirst && !readable_by_first_version(bytes))
+      return;
+    cluster_.deliver(to, PeerMessage{bytes});
+  });
+}
+
+void MessageRouter::check_known_to_first_version(size_t from, const std::string& message) {
+  if (store_.has_upgrade_record() && cluster_.version(from) == ControllerVersion::kPresent) return;
+  const std::string unknown = unknown_to_first_version(message);
+  if (!unknown.empty())
+    simulation_.violation("unknown to the first version, from " + cluster_.label(from) + ": " +
+                          unknown);
+}
+
+void MessageRouter::on_call(size_t from, const Call& call) {
+  const AnswerHandler on_answer = answer_once(from, call.id);
+  simulation_.events.after(call.timeout_s, [on_answer] { on_answer({}); });
+  const auto delivery = network_.route_call(from, call);
+  if (!delivery) return;
+  simulation_.events.at(
+      delivery->at, [this, from, call, on_answer, answer_lost = delivery->answer_lost] {
+        execute(from, call, [this, on_answer, answer_lost](const HttpAnswer& answer) {
+          if (answer_lost) return;
+          simulation_.events.after(network_.latency(), [on_answer, answer] { on_answer(answer); });
+        });
+      });
+}
+
+// Only the first answer counts, and only for the process that made the call.
+MessageRouter::AnswerHandler MessageRouter::answer_once(size_t from, uint64_t call_id) {
+  return [this, from, call_id, generation = cluster_.generation(from),
+          answered = std::make_shared<bool>(false)](const HttpAnswer& answer) {
+    if (std::exchange(*answered, true)) return;
+    if (cluster_.generation(from) != generation) return;
+    cluster_.deliver(from, CallDone{call_id, answer.status, answer.body, false});
+  };
+}
+
+void MessageRouter::execute(size_t from, const Call& call, const AnswerHandler& on_answer) {
+  switch (call.target) {
+    case Target::kState:
+      return execute_at_store(from, call, on_answer);
+    case Target::kCloud:
+      return on_answer(cloud_.handle(simulation_.now(), {call.method, call.path, call.body}));
+    case Target::kWorker:
+      return fleet_.handle_call(call.address.substr(0, call.address.find(':')), call, on_answer);
+  }
+}
+
+void MessageRouter::execute_at_store(size_t from, const Call& call,
+                                     const AnswerHandler& on_answer) {
+  if (refused_by_store_.count(from) != 0) return on_answer({503, "{}"});
+  const HttpRequest request{call.method, call.path, call.body};
+  if (cluster_.version(from) == ControllerVersion::kFirst)
+    return first_version_store_.handle(simulation_.now(), request, on_answer);
+  store_.handle(simulation_.now(), request, on_answer);
+}
+
+void MessageRouter::set_refused_by_store(size_t controller, bool refused) {
+  if (refused)
+    refused_by_store_.insert(controller);
+  else
+    refused_by_store_.erase(controller);
+}
+
+}  // namespace standins
--- /dev/null
+++ b/tests/standins/network.cc
@@ -0,0 +1,146 @@
+#include "standins/network.h"
+
+#include <algorithm>
+
+namespace standins {
+
+using rooksill::runtime::Call;
+using rooksill::runtime::Target;
+
+namespace {
+
+constexpr double kMinLatency = 0.0005, kMaxLatency = 0.004;  // s
+
+Link link_to(Target target) {
+  switch (target) {
+    case Target::kState:
+      return Link::kStore;
+    case Target::kCloud:
+      return Link::kCloud;
+    case Target::kWorker:
+      break;
+  }
+  return Link::kWorkers;
+}
+
+std::string host_of(const std::string& address) { return address.substr(0, address.find(':')); }
+
+}  // namespace
+
+double Network::latency() { return simulation_.random.between(kMinLatency, kMaxLatency); }
+
+void Network::add_machine(const std::string& name, const std::string& zone) {
+  machines_[name].zone = zone;
+}
+
+void Network::cut_controller(size_t controller, Link link, const Cut& cut) {
+  controller_cuts_[controller][link] = cut;
+}
+
+void Network::partition_zone(const std::string& zone, size_t controller, double until) {
+  zone_partition_ = {zone, controller, until};
+}
+
+const Cut* Network::active_cut(size_t controller, Link link) const {
+  auto cuts = controller_cuts_.find(controller);
+  if (cuts == controller_cuts_.end()) return nullptr;
+  for (const Link candidate : {link, Link::kAll}) {
+    auto it = cuts->second.find(candidate);
+    if (it != cuts->second.end() && it->second.active(simulation_.now())) return &it->second;
+  }
+  return nullptr;
+}
+
+bool Network::same_side(const MachineLink& machine, size_t controller) const {
+  return zone_partition_.until > simulation_.now() && zone_partition_.controller == controller &&
+         zone_partition_.zone == machine.zone;
+}
+
+std::optional<double> Network::route_to_peer(size_t from, size_t to) {
+  const double at = simulation_.now() + latency();
+  const Cut* at_sender = active_cut(from, Link::kPeers);
+  const Cut* at_receiver = active_cut(to, Link::kPeers);
+  if (at_sender == nullptr && at_receiver == nullptr) return at;
+  double until = 0;
+  for (const Cut* cut : {at_sender, at_receiver}) {
+    if (cut == nullptr) continue;
+    if (cut->mode == CutMode::kDrop) return std::nullopt;
+    until = std::max(until, cut->until);
+  }
+  return until + latency();
+}
+
+std::optional<Delivery> Network::route_call(size_t from, const Call& call) {
+  const double at = simulation_.now() + latency();
+  const auto after_cuts = pass_cuts(from, call, at);
+  if (!after_cuts) return std::nullopt;
+  Delivery delivery{*after_cuts};
+  apply_message_faults(call, delivery);
+  return delivery;
+}
+
+std::optional<double> Network::pass_cuts(size_t from, const Call& call, double at) {
+  if (call.target == Target::kWorker) {
+    auto machine = machines_.find(host_of(call.address));
+    if (machine == machines_.end()) return std::nullopt;
+    const auto passed = pass_machine_cut(from, machine->second, at);
+    if (!passed || same_side(machine->second, from)) return passed;
+    at = *passed;
+  }
+  const Cut* cut = active_cut(from, link_to(call.target));
+  if (cut == nullptr) return at;
+  if (cut->mode == CutMode::kDrop) return std::nullopt;
+  return std::max(at, cut->until + latency());
+}
+
+std::optional<double> Network::pass_machine_cut(size_t from, const MachineLink& machine,
+                                                double at) {
+  if (machine.inbound_lost_until > simulation_.now()) return std::nullopt;
+  if (!machine.cut.active(simulation_.now()) || same_side(machine, from)) return at;
+  if (machine.cut.mode == CutMode::kDrop) return std::nullopt;
+  return machine.cut.until + latency();
+}
+
+void Network::apply_message_faults(const Call& call, Delivery& delivery) {
+  Random& random = simulation_.random;
+  const MessageFaults& faults = message_faults_;
+  delivery.answer_lost = random.happens(faults.lost_answer_chance);
+  if (call.target == Target::kState) {
+    if (faults.store_delay_s > 0) delivery.at += faults.store_delay_s * random.unit();
+    if (faults.late_transactions.chance > 0 && call.path == "/txn" &&
+        random.happens(faults.late_transactions.chance)) {
+      delivery.answer_lost = true;
+      delivery.at += kMinTransactionDelay +
+                     (faults.late_transactions.up_to_s - kMinTransactionDelay) * random.unit();
+    }
+  }
+  if (call.target != Target::kCloud && random.happens(faults.late_requests.chance))
+    delivery.at += faults.late_requests.up_to_s * random.unit();
+  if (faults.late_commands.chance > 0 && call.path == "/commands" &&
+      random.happens(faults.late_commands.chance))
+    delivery.at += faults.late_commands.up_to_s * random.unit();
+}
+
+HeartbeatRoute Network::route_heartbeat(const std::string& machine, size_t controller) const {
+  using Fate = HeartbeatRoute::Fate;
+  const MachineLink& link = machines_.at(machine);
+  if (same_side(link, controller)) return {};
+  const Cut* machine_cut = link.cut.active(simulation_.now()) ? &link.cut : nullptr;
+  HeartbeatRoute route;
+  for (const Cut* cut : {machine_cut, active_cut(controller, Link::kWorkers)}) {
+    if (cut == nullptr) continue;
+    if (cut->mode == CutMode::kDrop) return {Fate::kLost};
+    route = {Fate::kHeld, std::max(route.held_until, cut->until)};
+  }
+  return route;
+}
+
+bool Network::loses_answers(const std::string& machine, size_t controller) const {
+  auto it = machines_.find(machine);
+  if (it == machines_.end()) return true;
+  const MachineLink& link = it->second;
+  if (link.inbound_lost_until > simulation_.now()) return true;
+  return link.cut.active(simulation_.now()) && !same_side(link, controller);
+}
+
+}  // namespace standins
--- /dev/null
+++ b/tests/standins/rule_checker.cc
@@ -0,0 +1,146 @@
+#include "standins/rule_checker.h"
+
+#include <algorithm>
+#include <map>
+#include <nlohmann/json.hpp>
+
+namespace standins {
+
+using nlohmann::json;
+
+namespace {
+
+constexpr double kQuotaSlack = 1e-6;  // CPUs, for sums of fractions
+// What the protocol requires of a submission.
+constexpr const char* kRequiredFields[] = {"id",       "flock",  "owner",     "shape",  "rank",
+                                           "pieces",   "cores",  "memory_gb", "bundle", "size_gb",
+                                           "together", "spread", "loaners",   "guess_s"};
+
+Outcome parse_outcome(const std::string& status) {
+  if (status == "done") return Outcome::kDone;
+  if (status == "withdrawn") return Outcome::kCancelled;
+  return Outcome::kNone;
+}
+
+const char* wire_name(Outcome outcome) { return outcome == Outcome::kDone ? "done" : "withdrawn"; }
+
+}  // namespace
+
+// ---- answers to users ----------------------------------------------------------------------
+
+void RuleChecker::check_submit_answer(const UserJob& job, const HttpAnswer& answer) {
+  const bool rejected = answer.status == 400 || answer.status == 422;
+  const bool accepted = answer.status == 200 || answer.status == 201;
+  if (rejected && job.accepted())
+    simulation_.violation("forgotten: " + job.id() + " answered " + std::to_string(answer.status));
+  if (accepted && !can_run(job))
+    simulation_.violation("accepted though it cannot run or lacks a field: " + job.id());
+  if (answer.status == 503 && answer.retry_after_s <= 0)
+    simulation_.violation("503 without Retry-After for " + job.id());
+}
+
+Outcome RuleChecker::check_status_answer(const UserJob& job, const HttpAnswer& answer,
+                                         bool is_poll) {
+  if (answer.status == 404 && job.accepted()) simulation_.violation("forgotten: " + job.id());
+  if (answer.status != 200 && answer.status != 201) return Outcome::kNone;
+  const json body = json::parse(answer.body, nullptr, false);
+  if (!body.is_object()) {
+    simulation_.violation("malformed answer for " + job.id());
+    return Outcome::kNone;
+  }
+  const auto status = body.value("status", "");
+  const Outcome outcome = parse_outcome(status);
+  if (is_poll && !job.accepted() && job.submit_status == 0)
+    simulation_.violation("invented: " + job.id());
+  if (job.is_over() && outcome != job.outcome)
+    simulation_.violation("went_back: " + job.id() + " was " + wire_name(job.outcome) + ", is " +
+                          status);
+  if (outcome == Outcome::kDone && ledger_.done_at(job.id()) < 0)
+    simulation_.violation("not_done: " + job.id());
+  if (outcome == Outcome::kCancelled && !job.cancel_requested)
+    simulation_.violation("went_back: " + job.id() + " not cancelled");
+  return outcome;
+}
+
+bool RuleChecker::can_run(const UserJob& job) const {
+  for (const char* field : kRequiredFields)
+    if (!job.body.contains(field)) return false;
+  auto team = teams_.find(job.team);
+  if (team == teams_.end()) return false;
+  const double max = team->second.cpus_max;
+  // An array can run task by task; the other shapes only whole.
+  const int tasks_at_once = job.workload.shape == Shape::kArray ? 1 : job.workload.tasks;
+  if (max > 0 && job.workload.cpus * tasks_at_once > max) return false;
+  return std::any_of(cloud_.types.begin(), cloud_.types.end(),
+                     [&](const TypeSpec& type) { return fits(job, type); });
+}
+
+bool RuleChecker::fits(const UserJob& job, const TypeSpec& type) const {
+  const bool has_zone = job.zone.empty() || std::find(type.zones.begin(), type.zones.end(),
+                                                      job.zone) != type.zones.end();
+  return job.workload.cpus <= type.cpus && job.workload.memory_gb <= type.memory_gb &&
+         job.allows_type(type.name) && has_zone;
+}
+
+// ---- tasks ---------------------------------------------------------------------------------
+
+void RuleChecker::before_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) {
+  for (const auto& [machine, other_attempt] : ledger_.machines_of(task))
+    simulation_.violation("ran_twice: " + task.job + "/" + std::to_string(task.index) +
+                          " attempt " + std::to_string(attempt) + " starts on " + worker.name +
+                          " while attempt " + std::to_string(other_attempt) + " is on " + machine);
+}
+
+void RuleChecker::after_task_start(const Worker& worker, const TaskKey& task) {
+  const UserJob& job = jobs_.at(task.job);
+  check_machine(worker, job);
+  check_zones(job);
+  if (job.told_cancelled_at >= 0 && simulation_.now() > job.told_cancelled_at + cancel_s_)
+    simulation_.violation("ran_cancelled: " + job.id() + " starts");
+  check_quotas();
+}
+
+void RuleChecker::check_machine(const Worker& worker, const UserJob& job) {
+  if (worker.spot && !job.spot)
+    simulation_.violation("wrong_place: " + job.id() + " on a spot machine");
+  if (!job.allows_zone(worker.zone))
+    simulation_.violation("wrong_place: " + job.id() + " in " + worker.zone);
+  if (!job.allows_type(worker.type))
+    simulation_.violation("wrong_place: " + job.id() + " on " + worker.type);
+}
+
+void RuleChecker::check_zones(const UserJob& job) {
+  std::map<std::string, int> tasks_by_zone;
+  for (int i = 0; i < job.workload.tasks; ++i)
+    for (const auto& [machine, attempt] : ledger_.machines_of({job.id(), i}))
+      ++tasks_by_zone[cloud_.machines.at(machine).zone];
+  for (const auto& [zone, tasks] : tasks_by_zone)
+    if (job.spread && tasks > job.most_in_zone())
+      simulation_.violation("wrong_place: " + job.id() + " not spread");
+  if (job.one_zone && tasks_by_zone.size() > 1)
+    simulation_.violation("wrong_place: " + job.id() + " not together");
+}
+
+void RuleChecker::check_quotas() {
+  std::map<std::string, double> cpus_by_team;
+  for (const auto& [task, machines] : ledger_.machines_by_task()) {
+    if (machines.empty()) continue;
+    const UserJob& job = jobs_.at(task.job);
+    cpus_by_team[job.team] += job.workload.cpus;
+  }
+  for (const auto& [team, cpus] : cpus_by_team) {
+    const double max = cpus_max_of(teams_, team);
+    if (max > 0 && cpus > max + kQuotaSlack) simulation_.violation("quota: " + team);
+  }
+}
+
+void RuleChecker::check_cancelled_jobs() {
+  for (const auto& [id, job] : jobs_) {
+    if (job.told_cancelled_at < 0 || simulation_.now() < job.told_cancelled_at + cancel_s_)
+      continue;
+    for (int i = 0; i < job.workload.tasks; ++i)
+      if (!ledger_.machines_of({id, i}).empty()) simulation_.violation("ran_cancelled: " + id);
+  }
+}
+
+}  // namespace standins
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -7,315 +7,387 @@
 
 using nlohmann::json;
 
-Worker::Worker(const CloudMachine& m, const TypeSpec& t, const Times& times, Hooks hooks)
-    : name(m.name),
-      address(m.address),
-      type(m.type),
-      zone(m.zone),
-      spot(m.spot),
-      spec_(t),
+namespace {
+
+constexpr double kMinHeartbeatInterval = 0.5;  // s between heartbeats caused by changes
+constexpr double kRedirectDelay = 0.1;         // s until the heartbeat to the controller named
+constexpr double kRetryDelay = 1;              // s until the next controller is tried
+constexpr double kFailureTime = 0.3;           // s until a task that fails exits
+constexpr double kCpuSlack = 1e-9;             // for sums of fractions
+
+TaskKey parse_task(const std::string& name) {
+  const auto slash = name.rfind('/');
+  return {name.substr(0, slash), std::stoi(name.substr(slash + 1))};
+}
+
+}  // namespace
+
+Worker::Worker(const CloudMachine& machine, const TypeSpec& machine_type, const WorkerTimes& times,
+               WorkerEnvironment& environment)
+    : name(machine.name),
+      address(machine.address),
+      type(machine.type),
+      zone(machine.zone),
+      spot(machine.spot),
+      spec_(machine_type),
       times_(times),
-      hooks_(std::move(hooks)) {}
+      environment_(environment) {}
 
 double Worker::free_cpus() const {
-  double f = spec_.cpus;
-  for (const auto& t : tasks_)
-    if (t.phase != Task::kExited) f -= hooks_.job(t.key.job)->cpus;
-  return f;
+  double free = spec_.cpus;
+  for (const auto& task : tasks_)
+    if (task.phase != Phase::kExited) free -= environment_.find_workload(task.key.job)->cpus;
+  return free;
 }
 
-double Worker::free_memory() const {
-  double f = spec_.memory_gb;
-  for (const auto& t : tasks_)
-    if (t.phase != Task::kExited) f -= hooks_.job(t.key.job)->memory_gb;
-  return f;
+double Worker::free_memory_gb() const {
+  double free = spec_.memory_gb;
+  for (const auto& task : tasks_)
+    if (task.phase != Phase::kExited) free -= environment_.find_workload(task.key.job)->memory_gb;
+  return free;
+}
+
+// ---- tasks ---------------------------------------------------------------------------------
+
+void Worker::advance(double now) {
+  if (dead) return;
+  if (lease_renewed_at_ == 0) lease_renewed_at_ = booted_at_ = now;
+  now_ = now;
+  if (now - lease_renewed_at_ > times_.lease_s) expire_lease(now);
+  if (hanging) return;
+  for (auto& task : tasks_)
+    if (task.phase != Phase::kExited) advance_task(task, *environment_.find_workload(task.key.job));
+}
+
+void Worker::advance_task(Task& task, const Workload& workload) {
+  const double elapsed = now_ - task.phase_since;
+  if (task.phase == Phase::kFetching) {
+    const bool cached = images_.count(workload.image) != 0;
+    const double fetch_s = cached ? 0 : workload.image_gb / spec_.fetch_gb_per_s;
+    if (elapsed >= fetch_s) begin_after_fetch(task, workload);
+  } else if (workload.fails || faulty) {
+    if (elapsed > kFailureTime) exit(task, "error");
+  } else if (!workload.is_gang()) {
+    advance_array_task(task, workload);
+  } else if (environment_.is_completed(task.key)) {
+    exit(task, "done");
+  } else {
+    advance_gang_task(task, workload);
+  }
+}
+
+void Worker::begin_after_fetch(Task& task, const Workload& workload) {
+  images_.insert(workload.image);
+  task.phase = workload.is_gang() ? Phase::kWaitingForGang : Phase::kRunning;
+  task.phase_since = now_;
+  task.progress = environment_.saved_progress(task.key);
+  changed_ = true;
+  environment_.task_started(*this, task.key, task.attempt);
+  if (environment_.is_completed(task.key)) return exit(task, "done");
+  if (workload.is_gang()) join_gang(task, workload);
+}
+
+void Worker::advance_array_task(Task& task, const Workload& workload) {
+  const double elapsed = now_ - task.phase_since;
+  if (task.phase == Phase::kSaving) {
+    if (elapsed < workload.save_s) return;
+    environment_.save_progress(task.key, task.progress);
+    task.saved = true;
+    return exit(task, "stopped");
+  }
+  if (workload.is_service()) return;
+  const double progress = task.progress + now_ - task.phase_since;
+  if (workload.checkpoint_s > 0)
+    environment_.save_progress(
+        task.key, std::floor(progress / workload.checkpoint_s) * workload.checkpoint_s);
+  if (progress < workload.run_s) return;
+  environment_.complete(task.key);
+  exit(task, "done");
+}
+
+void Worker::advance_gang_task(Task& task, const Workload& workload) {
+  GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
+  if (!wait_for_gang(task, gang)) return;
+  if (save_with_gang(task, workload, gang)) return;
+  if (gang_is_broken(workload, gang)) return exit(task, "mates_gone");
+  if (task.phase == Phase::kSaving || gang.first_stop_at >= 0) return;
+  const double progress = gang.progress + now_ - gang.started_at;
+  if (gang.task_lost_at < 0 && workload.checkpoint_s > 0)
+    environment_.save_progress(
+        task.key, std::floor(progress / workload.checkpoint_s) * workload.checkpoint_s);
+  if (progress < workload.run_s || gang.task_lost_at >= 0) return;
+  for (int i = 0; i < workload.tasks; ++i) {
+    const TaskKey member{task.key.job, i};
+    if (!environment_.is_completed(member)) environment_.complete(member);
+  }
+  exit(task, "done");
+}
+
+// Whether the gang has started, so that the task is past waiting.
+bool Worker::wait_for_gang(Task& task, const GangAttempt& gang) {
+  if (task.phase != Phase::kWaitingForGang) return true;
+  if (gang.started_at >= 0) {
+    task.phase = Phase::kRunning;
+    changed_ = true;
+    return true;
+  }
+  if (now_ - task.phase_since > times_.gang_wait_s) exit(task, "alone");
+  return false;
+}
+
+// A gang saves all together or not at all. Whether the task has saved and exited.
+bool Worker::save_with_gang(Task& task, const Workload& workload, GangAttempt& gang) {
+  if (task.phase != Phase::kSaving || now_ - task.phase_since < workload.save_s) return false;
+  const bool all_told = static_cast<int>(gang.told_to_stop.size()) == workload.tasks;
+  const bool can_save = !gang.stopped_without_saving && gang.task_lost_at < 0 && all_told;
+  if (!gang.saved && !can_save) return false;
+  gang.saved = true;
+  environment_.save_progress(task.key, gang.progress);
+  task.saved = true;
+  exit(task, "stopped");
+  return true;
+}
+
+// Whether the others have noticed, which takes them a while, that a task was lost or that not all
+// were told to stop in time.
+bool Worker::gang_is_broken(const Workload& workload, const GangAttempt& gang) const {
+  if (gang.saved) return false;
+  if (gang.task_lost_at >= 0 && now_ - gang.task_lost_at > times_.gang_peer_s / 2) return true;
+  return gang.first_stop_at >= 0 && now_ - gang.first_stop_at > times_.gang_peer_s &&
+         static_cast<int>(gang.told_to_stop.size()) < workload.tasks;
+}
+
+void Worker::join_gang(const Task& task, const Workload& workload) {
+  GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
+  gang.ready.insert(task.key.index);
+  if (gang.started_at >= 0 || static_cast<int>(gang.ready.size()) < workload.tasks) return;
+  gang.started_at = now_;
+  gang.progress = task.progress;
 }
 
 // A task of a running gang that disappears takes the others with it; one of a gang that has not
 // started yet can be replaced.
-void Worker::leave_gang(const Task& t) {
-  const JobTruth* job = hooks_.job(t.key.job);
-  if (job == nullptr || !job->gang) return;
-  GangAttempt& gang = hooks_.gang(t.key, t.attempt);
-  gang.ready.erase(t.key.index);
-  if (gang.started >= 0 && gang.lost < 0) gang.lost = now_;
+void Worker::leave_gang(const Task& task) {
+  const Workload* workload = environment_.find_workload(task.key.job);
+  if (workload == nullptr || !workload->is_gang()) return;
+  GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
+  gang.ready.erase(task.key.index);
+  if (gang.started_at >= 0 && gang.task_lost_at < 0) gang.task_lost_at = now_;
 }
 
-void Worker::exit(Task& t, const std::string& cause) {
-  const bool was_on = is_on(t);
-  t.phase = Task::kExited;
-  t.cause = cause;
+void Worker::exit(Task& task, const std::string& cause) {
+  const bool was_on_machine = task.is_on_machine();
+  task.phase = Phase::kExited;
+  task.exit_cause = cause;
   changed_ = true;
-  if (!was_on) return;
-  leave_gang(t);
-  hooks_.ended(*this, t.key);
+  if (!was_on_machine) return;
+  leave_gang(task);
+  environment_.task_ended(*this, task.key);
+}
+
+void Worker::end_all_tasks() {
+  for (const auto& task : tasks_) {
+    if (!task.is_on_machine()) continue;
+    leave_gang(task);
+    environment_.task_ended(*this, task.key);
+  }
+  tasks_.clear();
 }
 
 void Worker::kill() {
   dead = true;
-  for (auto& t : tasks_)
-    if (is_on(t)) {
-      leave_gang(t);
-      hooks_.ended(*this, t.key);
-    }
-  tasks_.clear();
+  end_all_tasks();
 }
 
-void Worker::end_session(double now) {
-  for (auto& t : tasks_)
-    if (is_on(t)) {
-      leave_gang(t);
-      hooks_.ended(*this, t.key);
-    }
-  tasks_.clear();
+void Worker::expire_lease(double now) {
+  end_all_tasks();
   ++agent_epoch;
-  leased_from_ = now;
+  lease_renewed_at_ = now;
   changed_ = true;
 }
 
-void Worker::fetched(Task& t, const JobTruth& job) {
-  images_.insert(job.image);
-  t.phase = job.gang ? Task::kWaitingForGang : Task::kRunning;
-  t.since = now_;
-  t.progress = hooks_.saved(t.key);
-  changed_ = true;
-  hooks_.started(*this, t.key, t.attempt);
-  if (hooks_.completed(t.key)) return exit(t, "done");
-  if (!job.gang) return;
-  GangAttempt& gang = hooks_.gang(t.key, t.attempt);
-  gang.ready.insert(t.key.index);
-  if (gang.started >= 0 || static_cast<int>(gang.ready.size()) < job.tasks) return;
-  gang.started = now_;
-  gang.progress = t.progress;
+// ---- heartbeats ----------------------------------------------------------------------------
+
+bool Worker::wants_to_send_heartbeat(double now) const {
+  if (dead || hanging || heartbeat_in_flight_ || now < next_heartbeat_allowed_) return false;
+  return now >= next_heartbeat_ || changed_;
 }
 
-void Worker::advance_gang_task(Task& t, const JobTruth& job) {
-  GangAttempt& gang = hooks_.gang(t.key, t.attempt);
-  if (t.phase == Task::kWaitingForGang) {
-    if (gang.started >= 0) {
-      t.phase = Task::kRunning;
-      changed_ = true;
-    } else if (now_ - t.since > times_.gang_wait_s) {
-      return exit(t, "alone");
-    }
-  }
-  if (t.phase == Task::kWaitingForGang) return;
-  const bool saving = t.phase == Task::kSaving;
-  if (saving && now_ - t.since >= job.save_s &&
-      (gang.saved ||
-       (!gang.hasty && gang.lost < 0 && static_cast<int>(gang.told.size()) == job.tasks))) {
-    gang.saved = true;
-    hooks_.save(t.key, gang.progress);
-    t.saved = true;
-    return exit(t, "stopped");
-  }
-  // What the others notice takes them a while.
-  const bool late = gang.stopped >= 0 && now_ - gang.stopped > times_.gang_peer_s && !gang.saved &&
-                    static_cast<int>(gang.told.size()) < job.tasks;
-  if ((gang.lost >= 0 && !gang.saved && now_ - gang.lost > times_.gang_peer_s / 2) || late)
-    return exit(t, "mates_gone");
-  if (saving || gang.stopped >= 0) return;
-  const double done = gang.progress + now_ - gang.started;
-  if (gang.lost < 0 && job.checkpoint_s > 0)
-    hooks_.save(t.key, std::floor(done / job.checkpoint_s) * job.checkpoint_s);
-  if (done < job.run_s || gang.lost >= 0) return;
-  for (int i = 0; i < job.tasks; ++i)
-    if (!hooks_.completed({t.key.job, i})) hooks_.complete({t.key.job, i});
-  exit(t, "done");
+std::string Worker::make_heartbeat(double now) {
+  heartbeat_in_flight_ = true;
+  changed_ = false;
+  next_heartbeat_allowed_ = now + kMinHeartbeatInterval;
+  next_heartbeat_ = now + times_.heartbeat_s;
+  return make_report(now);
 }
 
-void Worker::advance_task(Task& t, const JobTruth& job) {
-  if (t.phase == Task::kRunning) {
-    if (job.service) return;
-    const double done = t.progress + now_ - t.since;
-    if (job.checkpoint_s > 0)
-      hooks_.save(t.key, std::floor(done / job.checkpoint_s) * job.checkpoint_s);
-    if (done >= job.run_s) {
-      hooks_.complete(t.key);
-      exit(t, "done");
-    }
-  } else if (t.phase == Task::kSaving && now_ - t.since >= job.save_s) {
-    hooks_.save(t.key, t.progress);
-    t.saved = true;
-    exit(t, "stopped");
+const char* Worker::wire_name(Phase phase) {
+  switch (phase) {
+    case Phase::kFetching:
+      return "pulling";
+    case Phase::kWaitingForGang:
+      return "gathering";
+    case Phase::kRunning:
+      return "running";
+    case Phase::kSaving:
+      return "saving";
+    case Phase::kExited:
+      break;
   }
+  return "exited";
 }
 
-void Worker::advance(double now) {
-  if (dead) return;
-  if (leased_from_ == 0) leased_from_ = leased_at_first_ = now;
-  now_ = now;
-  if (now - leased_from_ > times_.lease_s) end_session(now);
-  if (hanging) return;
-  for (auto& t : tasks_) {
-    if (t.phase == Task::kExited) continue;
-    const JobTruth& job = *hooks_.job(t.key.job);
-    if (t.phase == Task::kFetching) {
-      const double needed = images_.count(job.image) != 0 ? 0 : job.image_gb / spec_.fetch_gb_per_s;
-      if (now - t.since >= needed) fetched(t, job);
-      continue;
-    }
-    if (job.fails || faulty) {
-      if (now - t.since > 0.3) exit(t, "error");
-    } else if (job.gang) {
-      if (hooks_.completed(t.key))
-        exit(t, "done");
-      else
-        advance_gang_task(t, job);
-    } else {
-      advance_task(t, job);
-    }
+std::string Worker::make_report(double now) {
+  ++report_sequence_;
+  json tasks = json::array();
+  for (const auto& task : tasks_) {
+    json entry{{"piece", task.key.job + "/" + std::to_string(task.key.index)},
+               {"try", task.attempt},
+               {"status", wire_name(task.phase)}};
+    if (task.phase == Phase::kExited) entry["cause"] = task.exit_cause;
+    if (task.saved) entry["saved"] = true;
+    tasks.push_back(entry);
   }
+  json report{{"perch", name},
+              {"address", address},
+              {"build", type},
+              {"ward", zone},
+              {"loaners", spot},
+              {"tenure", agent_epoch},
+              {"tally", report_sequence_},
+              {"baton", fencing_token_},
+              {"warning_s", nullptr},
+              {"pieces", tasks}};
+  if (reclaim_at) report["warning_s"] = std::max(0.0, *reclaim_at - now);
+  return report.dump();
 }
 
-bool Worker::wants_to_report(double now) const {
-  if (dead || hanging || in_flight || now < next_allowed) return false;
-  return now >= next_report || changed_;
+void Worker::on_heartbeat_answer(double now, const HttpAnswer& answer, double sent_at,
+                                 uint64_t sent_epoch) {
+  heartbeat_in_flight_ = false;
+  if (dead) return;
+  const json body = json::parse(answer.body, nullptr, false);
+  if (answer.status != 200 || !body.is_object()) return change_controller(answer, now);
+  if (sent_epoch != agent_epoch) return;
+  const uint64_t token = body.value("baton", uint64_t{0});
+  if (token < fencing_token_) return;  // dropped: neither executed nor renewing
+  observe_fencing_token(token);
+  lease_renewed_at_ = sent_at;
+  execute(now, body.value("orders", json()));
 }
 
-std::string Worker::make_report(double now, bool heartbeat) {
-  ++seq_;
-  if (heartbeat) {
-    in_flight = true;
-    changed_ = false;
-    next_allowed = now + 0.5;
-    next_report = now + times_.report_s;
-  }
-  json pieces = json::array();
-  for (const auto& t : tasks_) {
-    const char* phase = t.phase == Task::kFetching         ? "pulling"
-                        : t.phase == Task::kWaitingForGang ? "gathering"
-                        : t.phase == Task::kRunning        ? "running"
-                        : t.phase == Task::kSaving         ? "saving"
-                                                           : "exited";
-    json p{{"piece", t.key.job + "/" + std::to_string(t.key.index)},
-           {"try", t.attempt},
-           {"status", phase}};
-    if (t.phase == Task::kExited) p["cause"] = t.cause;
-    if (t.saved) p["saved"] = true;
-    pieces.push_back(p);
+// To the one that the answer names; to the next if it names none.
+void Worker::change_controller(const HttpAnswer& answer, double now) {
+  const json body = json::parse(answer.body, nullptr, false);
+  if (answer.status == 421 && body.is_object() && body.contains("steward")) {
+    const auto named =
+        std::find(controllers.begin(), controllers.end(), body["steward"].get<std::string>());
+    const auto index = static_cast<size_t>(named - controllers.begin());
+    if (named != controllers.end() && index != current_controller) {
+      current_controller = index;
+      next_heartbeat_ = next_heartbeat_allowed_ = now + kRedirectDelay;
+      return;
+    }
   }
-  json r{{"perch", name},        {"address", address},    {"build", type}, {"ward", zone},
-         {"loaners", spot},      {"tenure", agent_epoch}, {"tally", seq_}, {"baton", fencing_token},
-         {"warning_s", nullptr}, {"pieces", pieces}};
-  if (taken_at) r["warning_s"] = std::max(0.0, *taken_at - now);
-  return r.dump();
+  current_controller = (current_controller + 1) % controllers.size();
+  next_heartbeat_ = next_heartbeat_allowed_ = now + kRetryDelay;
 }
 
-void Worker::see_token(uint64_t t) {
-  if (t <= fencing_token) return;
-  fencing_token = t;
-  if (now_ - last_token_change_ >= times_.lease_s / 2) {
-    changed_ = true;
-    last_token_change_ = now_;
-  }
+// A heartbeat follows at once if the token changed, but not at each of many changes in a row.
+void Worker::observe_fencing_token(uint64_t token) {
+  if (token <= fencing_token_) return;
+  fencing_token_ = token;
+  if (now_ - last_token_change_ < times_.lease_s / 2) return;
+  changed_ = true;
+  last_token_change_ = now_;
 }
 
-void Worker::on_answer(double now, int status, const std::string& body, double sent,
-                       uint64_t of_agent_epoch) {
-  in_flight = false;
-  if (dead) return;
-  json j = json::parse(body, nullptr, false);
-  if (status == 200 && j.is_object()) {
-    if (of_agent_epoch != agent_epoch) return;
-    const uint64_t t = j.value("baton", uint64_t{0});
-    if (t < fencing_token) return;  // dropped: neither executed nor renewing
-    see_token(t);
-    leased_from_ = sent;
-    execute(now, j["orders"]);
-    return;
-  }
-  if (status == 421 && j.is_object() && j.contains("steward")) {
-    const auto to = j["steward"].get<std::string>();
-    for (size_t i = 0; i < controllers.size(); ++i)
-      if (controllers[i] == to && static_cast<int>(i) != at) {
-        at = static_cast<int>(i);
-        next_report = next_allowed = now + 0.1;
-        return;
-      }
-  }
-  at = (at + 1) % static_cast<int>(controllers.size());
-  next_report = next_allowed = now + 1;
-}
+// ---- commands ------------------------------------------------------------------------------
 
-Answer Worker::handle(double now, const std::string& method, const std::string& path,
-                      const std::string& body) {
+HttpAnswer Worker::handle(double now, const HttpRequest& request) {
   now_ = now;
-  if (method == "GET" && path == "/inspect") return {200, make_report(now, false)};
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object() || !j.contains("baton") || !j.contains("tenure")) return {400, "{}"};
-  const uint64_t t = j["baton"];
-  if (t < fencing_token) return {409, make_report(now, false)};
-  see_token(t);
-  if (j["tenure"].get<uint64_t>() != agent_epoch) return {409, make_report(now, false)};
-  execute(now, j["orders"]);
-  return {200, make_report(now, false)};
+  if (request.method == "GET" && request.target == "/inspect") return {200, make_report(now)};
+  const json body = json::parse(request.body, nullptr, false);
+  if (!body.is_object() || !body.contains("baton") || !body.contains("tenure")) return {400, "{}"};
+  const uint64_t token = body["baton"];
+  if (token < fencing_token_) return {409, make_report(now)};
+  observe_fencing_token(token);
+  if (body["tenure"].get<uint64_t>() != agent_epoch) return {409, make_report(now)};
+  execute(now, body.value("orders", json()));
+  return {200, make_report(now)};
+}
+
+std::vector<Worker::Task>::iterator Worker::find_task(const TaskKey& key, uint64_t attempt) {
+  return std::find_if(tasks_.begin(), tasks_.end(),
+                      [&](const Task& task) { return task.key == key && task.attempt == attempt; });
 }
 
 void Worker::execute(double now, const json& commands) {
-  for (const auto& o : commands) {
-    const auto full = o["piece"].get<std::string>();
-    const auto slash = full.rfind('/');
-    const TaskKey key{full.substr(0, slash), std::stoi(full.substr(slash + 1))};
-    const uint64_t attempt = o["try"];
-    const auto verb = o["verb"].get<std::string>();
-    auto it = std::find_if(tasks_.begin(), tasks_.end(),
-                           [&](const Task& t) { return t.key == key && t.attempt == attempt; });
+  for (const auto& command : commands) {
+    const TaskKey key = parse_task(command["piece"].get<std::string>());
+    const uint64_t attempt = command["try"];
+    const auto verb = command["verb"].get<std::string>();
+    const auto task = find_task(key, attempt);
     if (verb == "start") {
-      if (it != tasks_.end()) continue;
-      Task t;
-      t.key = key;
-      t.attempt = attempt;
-      t.since = now;
-      changed_ = true;
-      const JobTruth* j = hooks_.job(key.job);
-      const bool other =
-          std::any_of(tasks_.begin(), tasks_.end(), [&](const Task& x) { return x.key == key; });
-      if (j == nullptr || key.index >= j->tasks) {
-        t.phase = Task::kExited;
-        t.cause = "no_such";
-      } else if (other) {
-        t.phase = Task::kExited;
-        t.cause = "busy";
-      } else if (free_cpus() + 1e-9 < j->cpus) {
-        t.phase = Task::kExited;
-        t.cause = "no_room";
-      }
-      tasks_.push_back(t);
+      if (task == tasks_.end()) execute_start(now, key, attempt);
+    } else if (task == tasks_.end()) {
+      continue;
     } else if (verb == "stop") {
-      if (it == tasks_.end() || it->phase == Task::kExited) continue;
-      stop(*it, o.value("mercy_s", 0.0));
-    } else if (verb == "reap") {
-      if (it != tasks_.end() && it->phase == Task::kExited) {
-        tasks_.erase(it);
-        changed_ = true;
-      }
+      if (task->phase != Phase::kExited) execute_stop(*task, command.value("mercy_s", 0.0));
+    } else if (verb == "reap" && task->phase == Phase::kExited) {
+      tasks_.erase(task);
+      changed_ = true;
     }
   }
 }
 
-void Worker::stop(Task& t, double mercy_s) {
-  const JobTruth& job = *hooks_.job(t.key.job);
-  const bool time_to_save = job.checkpoint_s > 0 && job.save_s > 0 && mercy_s >= job.save_s;
-  if (t.phase == Task::kRunning && job.gang) {
-    GangAttempt& gang = hooks_.gang(t.key, t.attempt);
-    if (gang.stopped < 0) {
-      gang.stopped = now_;
-      gang.progress += now_ - gang.started;
-    }
-    if (time_to_save)
-      gang.told.insert(t.key.index);
-    else
-      gang.hasty = true;
-  }
-  if (t.phase == Task::kRunning && time_to_save) {
-    t.progress += now_ - t.since;
-    t.phase = Task::kSaving;
-    t.since = now_;
+void Worker::execute_start(double now, const TaskKey& key, uint64_t attempt) {
+  Task task;
+  task.key = key;
+  task.attempt = attempt;
+  task.phase_since = now;
+  task.exit_cause = reason_to_refuse(key);
+  if (!task.exit_cause.empty()) task.phase = Phase::kExited;
+  tasks_.push_back(task);
+  changed_ = true;
+}
+
+// Empty if the task can start.
+std::string Worker::reason_to_refuse(const TaskKey& key) const {
+  const Workload* workload = environment_.find_workload(key.job);
+  if (workload == nullptr || key.index >= workload->tasks) return "no_such";
+  const bool other_attempt =
+      std::any_of(tasks_.begin(), tasks_.end(), [&](const Task& task) { return task.key == key; });
+  if (other_attempt) return "busy";
+  if (free_cpus() + kCpuSlack < workload->cpus) return "no_room";
+  return "";
+}
+
+void Worker::execute_stop(Task& task, double grace_s) {
+  const Workload& workload = *environment_.find_workload(task.key.job);
+  const bool time_to_save =
+      workload.checkpoint_s > 0 && workload.save_s > 0 && grace_s >= workload.save_s;
+  if (task.phase == Phase::kRunning && workload.is_gang()) stop_gang(task, time_to_save);
+  if (task.phase == Phase::kRunning && time_to_save) {
+    task.progress += now_ - task.phase_since;
+    task.phase = Phase::kSaving;
+    task.phase_since = now_;
     changed_ = true;
-  } else if (t.phase != Task::kSaving || mercy_s == 0) {
-    exit(t, "stopped");
+  } else if (task.phase != Phase::kSaving || grace_s == 0) {
+    exit(task, "stopped");
+  }
+}
+
+void Worker::stop_gang(const Task& task, bool time_to_save) {
+  GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
+  if (gang.first_stop_at < 0) {
+    gang.first_stop_at = now_;
+    gang.progress += now_ - gang.started_at;
   }
+  if (time_to_save)
+    gang.told_to_stop.insert(task.key.index);
+  else
+    gang.stopped_without_saving = true;
 }
 
 }  // namespace standins
