--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -72,6 +72,11 @@
   bool in_flight = false;
   int failures = 0;     // in a row
   bool failed = false;  // enough of them to take the worker for unreachable
+
+  void clear_failures() {
+    failures = 0;
+    failed = false;
+  }
 };
 
 // Failures of tasks that are held against the machine.
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -20,12 +20,6 @@
 constexpr int kMaxInFlight = 2;
 constexpr double kBackoff = 0.15;   // after the state refused
 constexpr double kEntitled = 0.95;  // part of the time by which a cancellation outlasts a lease
-constexpr double kMuteReplicaLeases = 2.2;  // the same, with replicas
-constexpr double kMuteLeases = 0.6;    // of a lease without a report, though the machine answers
-constexpr int kZoneSample = 10;        // machines of a zone that are asked whether it is cut off
-constexpr double kZonePatience = 0.2;  // reports that their answers are waited for
-constexpr int kTested = 3;             // machines that a node which suspects itself asks at a time
-constexpr int kProbes = 2;             // unanswered ones that make a machine silent
 constexpr double kCommandReports = 0.5;  // patience with a direct command, in reports
 constexpr int kSuspectJob = 3;           // machines a job must fail on to be suspected itself
 constexpr int kSuspectMachine = 3;       // failures in a row that make a machine suspect
@@ -52,6 +46,10 @@
       cancellations_(cancellations),
       owned_(replica),
       workers_(ctx, replica),
+      failure_detector_(ctx, replica, workers_,
+                        [this](agent::Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
+                          accept_heartbeat(worker, heartbeat);
+                        }),
       transfers_(ctx, replica, committer) {}
 
 bool PartitionOwner::backing_off(const std::string& job) const {
@@ -115,38 +113,8 @@
   }
 }
 
-// Now and then: what only time changes.
 void PartitionOwner::check_timeouts() {
-  const double report = ctx_.settings.platform.report_s;
-  const double silence = ctx_.settings.operators.machine_silence_reports * report;
-  size_t up = 0, silent = 0, mute = 0;
-  // A machine that answers and brings no reports cannot reach the controllers: its lease runs out
-  // again and again, and with it all its work. Where it is most of them, it is this node.
-  auto is_mute = [&](const agent::Worker& w) {
-    // Replicas start over in place within moments of each lease's end, so those may stay for
-    // longer.
-    const double leases = replica_.load(w.name).replica_cpus > 0 ? kMuteReplicaLeases : kMuteLeases;
-    return w.reported && ctx_.now.steady - std::max({w.contact.last_report, w.contact.recovered_at,
-                                                     ctx_.resumed_at}) >
-                             leases * ctx_.settings.platform.lease_s;
-  };
-  for (const auto& [name, w] : workers_) mute += is_mute(w) ? 1 : 0;
-  const bool few_mute = mute * 2 <= workers_.size();
-  for (auto& [name, w] : workers_) {
-    probe(w);
-    const double age = agent::seconds_silent(w, ctx_);
-    const bool expected = w.reported || !replica_.placed_on(name).empty();
-    const bool late = expected && w.probe.failed && age > agent::kProbeReports * report;
-    if (expected) ++up;
-    if (late) ++silent;
-    const bool is_silent = (late && (age > silence || w.terminates_at)) || (few_mute && is_mute(w));
-    if (is_silent != w.silent) {
-      w.silent = is_silent;
-      w.status_changed = true;
-    }
-  }
-  suspect(silent, up);
-  judge_zones();
+  failure_detector_.check();
   std::erase_if(evicted_, [&](const auto& e) {
     const model::TaskState* t = replica_.task(e.first);
     return t == nullptr || t->machine.empty() || t->attempt != e.second;
@@ -154,139 +122,6 @@
   if (!routed_.empty()) placement_requested_ = true;
 }
 
-// One silent machine is its own trouble; nearly all of them at once are likelier ours. Its
-// partitions go to others then, and with them whatever it could hear: it stays suspect until some
-// machine answers it again, or it would get them back at once, and hold and lose them by turns.
-void PartitionOwner::suspect(size_t silent, size_t up) {
-  const bool nearly_all = up >= 2 && (silent * 10 >= up * 8 || all_unreachable_);
-  if (nearly_all && !suspects_itself_) {
-    ctx_.info("holder", "{} of {} machines silent: suspecting this node", silent, up);
-    suspects_itself_ = true;
-    last_answer_ = -1e9;
-  }
-  if (!suspects_itself_) return;
-  const double report = ctx_.settings.platform.report_s;
-  if (!nearly_all && ctx_.now.steady - last_answer_ < report) {
-    ctx_.info("holder", "machines answer: no longer suspecting this node");
-    suspects_itself_ = all_unreachable_ = false;
-    zone_checks_.clear();
-    return;
-  }
-  if (!workers_.empty() || workers_.addresses().empty() || ctx_.now.steady < next_test_) return;
-  next_test_ = ctx_.now.steady + report / 4;
-  for (int i = 0; i < kTested; ++i) {
-    auto at = workers_.addresses().begin();
-    std::advance(at, static_cast<long>(ctx_.rng() % workers_.addresses().size()));
-    ctx_.call(runtime::Target::kWorker, at->second, "GET", "/inspect", "", report / 4,
-              [this](const runtime::CallDone& done) {
-                if (done.status == 200) last_answer_ = ctx_.now.steady;
-              });
-  }
-}
-
-// One silent machine may be the first of a zone that is cut off. Some others of the zone are asked
-// at once: by the time it is judged, it is known whether it is alone.
-void PartitionOwner::check_zone(const std::string& zone) {
-  ZoneCheck& z = zone_checks_[zone];
-  const double report = ctx_.settings.platform.report_s;
-  if (ctx_.now.steady - z.asked < report) return;
-  z.asked = ctx_.now.steady;
-  z.sent = z.answered = 0;
-  z.judged = false;
-  std::vector<const agent::Worker*> there;
-  for (const auto& [name, w] : workers_) {
-    const model::Machine* m = replica_.machine(name);
-    if (m != nullptr && m->zone == zone && w.reported && !w.address.empty()) there.push_back(&w);
-  }
-  std::shuffle(there.begin(), there.end(), ctx_.rng);
-  for (const agent::Worker* w : there) {
-    if (z.sent == kZoneSample) break;
-    ++z.sent;
-    ctx_.call(runtime::Target::kWorker, w->address, "GET", "/inspect", "", report * kZonePatience,
-              [this, zone, asked = z.asked](const runtime::CallDone& done) {
-                ZoneCheck& x = zone_checks_[zone];
-                if (x.asked == asked && done.status == 200) ++x.answered;
-              });
-  }
-}
-
-void PartitionOwner::judge_zones() {
-  const double report = ctx_.settings.platform.report_s;
-  for (auto& [zone, z] : zone_checks_) {
-    const double passed = ctx_.now.steady - z.asked;
-    if (!z.judged && passed > 1.2 * kZonePatience * report) {
-      // A few machines say little of a zone, unless it was found dark while there were more.
-      const bool unreachable =
-          z.sent >= (z.unreachable ? 1 : kZoneSample / 2) && z.answered * 2 < z.sent;
-      if (unreachable != z.unreachable)
-        ctx_.info("holder", "zone {}: {} of {} machines asked answer, it is {}", zone, z.answered,
-                  z.sent, unreachable ? "cut off" : "there again");
-      z.unreachable = unreachable;
-      z.judged = true;
-      // All zones dark at once: this node is cut off, not they. It need not wait for silence.
-      all_unreachable_ =
-          unreachable && std::all_of(workers_.begin(), workers_.end(), [&](const auto& w) {
-            const model::Machine* m = replica_.machine(w.first);
-            if (m == nullptr || !w.second.reported) return true;
-            auto check = zone_checks_.find(m->zone);
-            return check != zone_checks_.end() && check->second.unreachable;
-          });
-    }
-    if (z.unreachable && !workers_.empty()) check_zone(zone);
-  }
-}
-
-std::vector<std::string> PartitionOwner::silent_machines() const {
-  std::vector<std::string> out;
-  const size_t most = ctx_.settings.platform.state_value_bytes / model::kItemBytes / 2;
-  for (const auto& [name, w] : workers_)
-    if (w.silent && out.size() < most) out.push_back(name);
-  return out;
-}
-
-std::vector<std::string> PartitionOwner::unreachable_zones() const {
-  std::vector<std::string> out;
-  for (const auto& [zone, z] : zone_checks_)
-    if (z.unreachable) out.push_back(zone);
-  return out;
-}
-
-void PartitionOwner::probe(agent::Worker& w) {
-  const double report = ctx_.settings.platform.report_s;
-  const double age = agent::seconds_silent(w, ctx_);
-  // A machine whose lease must have ended is asked at once: its tasks are to start again.
-  const bool over = w.reported && ctx_.now.steady > w.contact.lease_ends_at &&
-                    w.contact.last_heard < w.contact.lease_ends_at;
-  if (age < agent::kProbeReports * report && !over) {
-    w.probe.failed = false;
-    w.probe.failures = 0;
-    return;
-  }
-  if (w.probe.in_flight || w.address.empty() || ctx_.now.steady < w.probe.next_at) {
-    if (w.address.empty() && age > 2 * report) w.probe.failed = true;
-    return;
-  }
-  // Hundreds may be late at once, after a cut or a pause: they are asked in turn.
-  if (probes_ >= runtime::kProbeSockets * ctx_.settings.platform.max_sockets) return;
-  ++probes_;
-  w.probe.in_flight = true;
-  w.probe.next_at = ctx_.now.steady + report / 10;
-  ctx_.call(runtime::Target::kWorker, w.address, "GET", "/inspect", "", report / 4,
-            [this, name = w.name](const runtime::CallDone& done) {
-              --probes_;
-              agent::Worker* it = workers_.find(name);
-              if (it == nullptr) return;
-              it->probe.in_flight = false;
-              auto r = done.status == 200 ? wire::parse_heartbeat(done.body) : std::nullopt;
-              if (!r || r->machine != name) {
-                it->probe.failed = ++it->probe.failures >= kProbes;
-                if (const model::Machine* m = replica_.machine(name)) check_zone(m->zone);
-                return;
-              }
-              accept_heartbeat(*it, *r);
-            });
-}
-
 // ---- reports -------------------------------------------------------------------------------
 
 // An answer lets a worker's tasks live for another lease. A job may have been cancelled since this
@@ -350,13 +185,7 @@
   w.reported = true;
   w.version = agent::version_of(r);
   w.tokens.seen = r.fencing_token;
-  // A machine that was out of reach needs a while to find its controller again.
-  const auto& s = ctx_.settings;
-  if (agent::seconds_silent(w, ctx_) > s.operators.machine_silence_reports * s.platform.report_s)
-    w.contact.recovered_at = ctx_.now.steady;
-  w.contact.last_heard = last_answer_ = ctx_.now.steady;
-  w.probe.failed = false;
-  w.probe.failures = 0;
+  failure_detector_.record_contact(w);
   w.tasks = r.tasks;
   if (r.termination_notice_s && !w.terminates_at) {
     w.terminates_at = ctx_.now.steady + *r.termination_notice_s;
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -13,6 +13,7 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/agent/failure_detector.h"
 #include "rooksill/agent/worker.h"
 #include "rooksill/agent/worker_table.h"
 #include "rooksill/changes/owned_partitions.h"
@@ -66,9 +67,12 @@
   size_t queued() const { return queue_.size(); }
   std::string summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_.owns(partition); }
-  bool suspects_itself() const { return suspects_itself_; }
-  std::vector<std::string> silent_machines() const;
-  std::vector<std::string> unreachable_zones() const;  // cut off, as far as this node can see
+  bool suspects_itself() const { return failure_detector_.suspects_itself(); }
+  std::vector<std::string> silent_machines() const { return failure_detector_.silent_machines(); }
+  // Zones that this controller cannot reach.
+  std::vector<std::string> unreachable_zones() const {
+    return failure_detector_.unreachable_zones();
+  }
   bool backing_off(const std::string& job) const;
   std::optional<wire::UnassignedMachine> take_unassigned_machine();
 
@@ -102,11 +106,6 @@
     void add(store::Write write, size_t value_bytes);
   };
   enum class Added { kShard, kNothing, kFull };
-  struct ZoneCheck {
-    double asked = -1e9;
-    int sent = 0, answered = 0;
-    bool judged = true, unreachable = false;
-  };
   struct JobTrouble {
     std::set<std::string> machines;
     int failures = 0;
@@ -166,11 +165,7 @@
               std::vector<std::string> keys);
   void drop_sent(const std::vector<model::ShardId>& shards);
   void send_again(const std::vector<model::ShardId>& shards);
-  void probe(agent::Worker& w);
-  void suspect(size_t silent, size_t up);
   bool entitled() const;
-  void check_zone(const std::string& zone);
-  void judge_zones();
   void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
   wire::MachineStatus status_of(agent::Worker& w);
@@ -212,11 +207,11 @@
   const membership::Cancellations& cancellations_;
   changes::OwnedPartitions owned_;
   agent::WorkerTable workers_;
+  agent::FailureDetector failure_detector_;
   std::map<model::ShardId, ShardWork> work_;
   std::set<std::pair<Rank, model::ShardId>> queue_;
   std::set<model::ShardId> routed_;
   uint64_t routed_term_ = 0;
-  std::map<std::string, ZoneCheck> zone_checks_;
   std::unordered_map<std::string, JobTrouble> troubles_;
   std::map<model::TaskRef, uint64_t> evicted_;  // attempt being stopped to make room or to drain
   std::map<std::pair<int, std::string>, std::pair<double, double>> quota_use_;
@@ -234,12 +229,10 @@
   int evictions_ = 0;
   double stops_left_ = 0, stops_at_ = 0;  // that arrays may make room with, and when that was
   int in_flight_ = 0;
-  int sends_ = 0, probes_ = 0;  // commands and probes under way
+  int sends_ = 0;  // commands under way
   double backoff_until_ = 0, next_place_ = 0;
   double next_fallback_ = 0;
-  double last_answer_ = -1e9, next_test_ = 0;  // of any machine; when some are asked again
-  bool all_unreachable_ = false;               // no zone answered this node when it asked
-  bool suspects_itself_ = false, placement_requested_ = false;
+  bool placement_requested_ = false;
 };
 
 }  // namespace rooksill::partition
