--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -844,7 +844,7 @@
             if (s.one_zone) only_zone = m->zone;
           }
     // A limit too small to be divided lies with one partition: only room there is of use.
-    int home = quota::sole_partition(ctx_.settings, replica_, s.team);
+    int home = quota::undivided_quota_partition(ctx_.settings, replica_, s.team).value_or(-1);
     if (s.shape == model::Shape::kGang) {
       const GangTarget gang = choose_gang_target(s, rooms, home);
       home = gang.partition;
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -65,8 +65,8 @@
   const auto best = std::max_element(scores.begin(), scores.end()) - scores.begin();
   const double within_share = fits[static_cast<size_t>(best)].within_share;
   const int partition = static_cast<int>(best);
-  if (within_share < demand.tasks) quotas_.note(job.spec, demand.tasks, fits);
-  quotas_.take(job.spec, partition, std::min(demand.tasks, within_share));
+  if (within_share < demand.tasks) quotas_.note_shortage(job.spec, demand.tasks, fits);
+  quotas_.deduct(job.spec, partition, std::min(demand.tasks, within_share));
   capacity_.deduct(partition, demand.filter, demand.tasks);
   return partition;
 }
--- a/src/rooksill/leader/partition_chooser.h
+++ b/src/rooksill/leader/partition_chooser.h
@@ -33,7 +33,7 @@
 
   // Transfers of quota to ask for now; `can_give` says by partition whose owner can be asked.
   std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& can_give) {
-    return quotas_.decide(can_give);
+    return quotas_.decide_transfers(can_give);
   }
 
  private:
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "rooksill/model/machine.h"
-#include "rooksill/quota/quota_shares.h"
+#include "rooksill/routing/fallback_routing.h"
 
 namespace rooksill::leader {
 
@@ -131,7 +131,7 @@
     return current->partition;
   if (routing.common_partition) return *routing.common_partition;
   if (routing.leader_unheard)
-    return quota::fallback_partition(context_.settings, replica_, job, index, context_.now.wall);
+    return routing::fallback_partition(context_.settings, replica_, job, index, context_.now.wall);
   std::optional<int> failed;
   if (job.spec.shape == model::Shape::kGang && current != nullptr) failed = current->partition;
   return chooser_.choose(job, index, failed);
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -9,6 +9,7 @@
 #include "rooksill/model/machine.h"
 #include "rooksill/model/value_sizes.h"
 #include "rooksill/quota/quota_shares.h"
+#include "rooksill/routing/fallback_routing.h"
 #include "rooksill/runtime/socket_budget.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -935,7 +936,7 @@
     for (uint32_t c = 0; c < job.shards.size(); ++c) {
       const model::TaskShard& shard = job.shards[c];
       if (shard.done + shard.placed >= shard.tasks.size()) continue;
-      if (owns(quota::fallback_partition(ctx_.settings, replica_, job, c, ctx_.now.wall)))
+      if (owns(routing::fallback_partition(ctx_.settings, replica_, job, c, ctx_.now.wall)))
         routed_.insert({id, c});
       else
         routed_.erase({id, c});
--- a/src/rooksill/quota/quota_balancer.h
+++ b/src/rooksill/quota/quota_balancer.h
@@ -1,59 +1,68 @@
-// The leader's view of what is left of each team's limit, and which shares should move.
+// The leader's view of what is left of each team's quota, and which shares should move.
 #pragma once
 
 #include <map>
+#include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/job.h"
+#include "rooksill/quota/quota_shares.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/replica.h"
 #include "rooksill/wire/controller_messages.h"
 
 namespace rooksill::quota {
 
-// What one shard of work could use in each partition: tasks for which machines have room there, and
-// of these as many as the partition's share of the team's limit still takes.
+// What one shard of work could use in a partition, in tasks: those for which machines have room
+// there, and of these as many as the partition's share of the team's quota still takes.
 struct PartitionFit {
-  double room = 0, within_share = 0;
+  double room = 0;
+  double within_share = 0;
 };
 
-// Where a partition has room on its machines and nothing left of a team's limit, while another has
+// Where a partition has room on its machines and nothing left of a team's quota, while another has
 // some left that it cannot use, the leader asks the other's owner for a transfer. The owner
-// decides how much it can give (LimitTransfers); nothing here is relied on for the limit.
+// decides how much it can give (QuotaTransfers); the quota is kept without anything from here.
 class QuotaBalancer {
  public:
-  QuotaBalancer(runtime::Context& ctx, const store::Replica& replica)
-      : ctx_(ctx), replica_(replica) {}
-
-  // Forgets what was taken since, and starts again from what owners say.
-  void refresh(const std::vector<wire::QuotaUse>& used);
-  // What is left of a team's limit in a partition; infinite without a limit.
-  model::QuotaShare left(const std::string& team, int partition);
-  // Tasks that what is left there still takes.
+  QuotaBalancer(runtime::Context& context, const store::Replica& replica)
+      : context_(context), replica_(replica) {}
+
+  // Forgets what was deducted, and starts again from the use that owners report.
+  void refresh(const std::vector<wire::QuotaUse>& use);
+  // How many of a job's tasks the partition's share still takes; infinite without a quota.
   double tasks_left(const model::JobSpec& spec, int partition);
-  // Work was routed to the partition, and will use that much of what is left.
-  void take(const model::JobSpec& spec, int partition, double tasks);
-  // Notes that fewer of the wanted tasks were within any partition's share than machines have room
-  // for.
-  void note(const model::JobSpec& spec, double wanted, const std::vector<PartitionFit>& fits);
-  // Transfers to ask for now; `can_give` says whose owner can be asked.
-  std::vector<wire::QuotaTransfer> decide(const std::vector<bool>& can_give);
+  // Work was routed to the partition and will use that much of its share.
+  void deduct(const model::JobSpec& spec, int partition, double tasks);
+  // Fewer of the wanted tasks are within any partition's share than machines have room for.
+  // `fits`: by partition.
+  void note_shortage(const model::JobSpec& spec, double wanted,
+                     const std::vector<PartitionFit>& fits);
+  // Transfers to ask for now: at most one for each team that lacked quota since the last call, and
+  // with a pause between two of one team. `can_give` says by partition whose owner can be asked.
+  std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& can_give);
 
  private:
+  // A team's quota lies where it is of no use, and is missing elsewhere.
   struct Shortage {
-    int to = 0;
-    model::QuotaShare missing;
+    int to = 0;                            // the partition that could use more
+    model::QuotaShare missing;             // what it could use beyond its share
     std::vector<model::QuotaShare> spare;  // by partition: left, and of no use to this work there
   };
-  runtime::Context& ctx_;
+  model::QuotaShare& left(const std::string& team, int partition);
+  std::optional<int> best_receiver(const std::string& team, double wanted,
+                                   const std::vector<PartitionFit>& fits);
+  std::optional<wire::QuotaTransfer> transfer_for(const std::string& team, const Shortage& shortage,
+                                                  const std::vector<bool>& can_give);
+
+  runtime::Context& context_;
   const store::Replica& replica_;
-  std::map<std::pair<std::string, int>, model::QuotaShare> left_;
-  std::map<std::pair<std::string, int>, model::QuotaShare> used_;
-  std::map<std::string, Shortage> shortages_;  // by team; the first one noted
-  std::map<std::string, double> next_;         // by team: when the next transfer may be asked for
+  std::map<TeamPartition, model::QuotaShare> left_;  // since the last refresh; made when asked for
+  std::map<TeamPartition, model::QuotaShare> used_;  // as owners last reported
+  std::map<std::string, Shortage> shortages_;        // by team; the first one noted
+  std::map<std::string, double> next_transfer_;      // by team; seconds of the steady clock
 };
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -3,11 +3,8 @@
 #include <algorithm>
 #include <cstdint>
 #include <limits>
-#include <string>
 
-#include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
-#include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
 #include "rooksill/model/resources.h"
 
@@ -15,87 +12,85 @@
 
 namespace {
 
-constexpr double kFallbackReports = 2;  // that a shard waits with one partition while nobody routes
-constexpr double kSmallLimit =
-    2;  // largest machines for each partition below which a limit is small
+// A quota is small if it holds fewer than so many of the largest machines for each partition.
+constexpr double kSmallQuotaMachines = 2;
 
-double largest(const store::Replica& replica, double model::Resources::*amount) {
-  double out = 0;
-  for (const auto& [name, type] : replica.types) out = std::max(out, type.capacity.*amount);
-  return out;
+double largest_machine(const store::Replica& replica, double model::Resources::*amount) {
+  double largest = 0;
+  for (const auto& [name, type] : replica.types) largest = std::max(largest, type.capacity.*amount);
+  return largest;
 }
 
-bool is_small(double limit, double largest_machine, int partitions) {
-  return limit < kSmallLimit * largest_machine * partitions;
+bool is_small(double quota, double machine, int partitions) {
+  return quota < kSmallQuotaMachines * machine * partitions;
 }
 
-int home_of(const std::string& team, int partitions) {
-  uint32_t sum = 0;
-  for (unsigned char c : team) sum = sum * 31 + c;
-  return static_cast<int>(sum % static_cast<uint32_t>(partitions));
+// Where a small quota lies at first: spreads teams over the partitions.
+int home_partition(const std::string& team, int partitions) {
+  uint32_t hash = 0;
+  for (unsigned char c : team) hash = hash * 31 + c;
+  return static_cast<int>(hash % static_cast<uint32_t>(partitions));
 }
 
-double first_share(double limit, double largest_machine, const std::string& team, int partition,
-                   int partitions) {
-  if (!is_small(limit, largest_machine, partitions)) return limit / partitions;
-  return home_of(team, partitions) == partition ? limit : 0;
+// The share before the first transfer.
+double initial_share(double quota, double machine, const TeamPartition& at, int partitions) {
+  if (!is_small(quota, machine, partitions)) return quota / partitions;
+  return home_partition(at.team, partitions) == at.partition ? quota : 0;
 }
 
 }  // namespace
 
 model::QuotaShare quota_share(const Settings& settings, const store::Replica& replica,
                               const std::string& team, int partition) {
-  constexpr double kNoLimit = std::numeric_limits<double>::infinity();
+  constexpr double kUnlimited = std::numeric_limits<double>::infinity();
   auto found = settings.platform.teams.find(team);
   if (found == settings.platform.teams.end()) return {0, 0};
-  const TeamQuota& limits = found->second;
+  const TeamQuota& quota = found->second;
   const int partitions = static_cast<int>(replica.leases.size());
-  model::QuotaShare out;
-  auto recorded = replica.quota_divisions.find(team);
-  if (recorded != replica.quota_divisions.end() &&
-      recorded->second.revision != model::kNoRevision) {
-    out = recorded->second.shares[static_cast<size_t>(partition)];
+  model::QuotaShare share;
+  auto division = replica.quota_divisions.find(team);
+  if (division != replica.quota_divisions.end() &&
+      division->second.revision != model::kNoRevision) {
+    share = division->second.shares[static_cast<size_t>(partition)];
   } else {
-    out.cpus = first_share(limits.cpus_max, largest(replica, &model::Resources::cpus), team,
-                           partition, partitions);
-    out.gpus = first_share(limits.gpus_max, largest(replica, &model::Resources::gpus), team,
-                           partition, partitions);
+    const TeamPartition at{team, partition};
+    const double cpus = largest_machine(replica, &model::Resources::cpus);
+    const double gpus = largest_machine(replica, &model::Resources::gpus);
+    share.cpus = initial_share(quota.cpus_max, cpus, at, partitions);
+    share.gpus = initial_share(quota.gpus_max, gpus, at, partitions);
   }
-  if (limits.cpus_max <= 0) out.cpus = kNoLimit;
-  if (limits.gpus_max <= 0) out.gpus = kNoLimit;
-  return out;
+  if (quota.cpus_max <= 0) share.cpus = kUnlimited;
+  if (quota.gpus_max <= 0) share.gpus = kUnlimited;
+  return share;
 }
 
-int sole_partition(const Settings& settings, const store::Replica& replica,
-                   const std::string& team) {
-  auto limits = settings.platform.teams.find(team);
-  if (limits == settings.platform.teams.end() || limits->second.cpus_max <= 0) return -1;
+std::optional<int> undivided_quota_partition(const Settings& settings,
+                                             const store::Replica& replica,
+                                             const std::string& team) {
+  auto quota = settings.platform.teams.find(team);
+  if (quota == settings.platform.teams.end() || quota->second.cpus_max <= 0) return std::nullopt;
   const int partitions = static_cast<int>(replica.leases.size());
-  const double machine = largest(replica, &model::Resources::cpus);
-  if (!is_small(limits->second.cpus_max, machine, partitions)) return -1;
-  int home = 0;
-  for (int b = 1; b < partitions; ++b)
-    if (quota_share(settings, replica, team, b).cpus >
-        quota_share(settings, replica, team, home).cpus)
-      home = b;
-  return home;
+  const double machine = largest_machine(replica, &model::Resources::cpus);
+  if (!is_small(quota->second.cpus_max, machine, partitions)) return std::nullopt;
+  int most = 0;
+  for (int partition = 1; partition < partitions; ++partition)
+    if (quota_share(settings, replica, team, partition).cpus >
+        quota_share(settings, replica, team, most).cpus)
+      most = partition;
+  return most;
 }
 
-int fallback_partition(const Settings& settings, const store::Replica& replica,
-                       const model::Job& job, uint32_t shard, double wall) {
-  const double turn_s = kFallbackReports * settings.platform.report_s;
-  const int partitions = static_cast<int>(replica.leases.size());
-  // One partition at a time decides for a job whose tasks depend on each other's places.
-  const bool whole = job.spec.one_zone || job.spec.spread || job.spec.shape == model::Shape::kGang;
-  uint64_t sum = whole ? 0 : shard;
-  for (unsigned char c : job.spec.id) sum = sum * 31 + c;
-  sum += static_cast<uint64_t>(std::max(0.0, wall - job.submitted) / turn_s);
-  for (int i = 0; i < partitions; ++i, ++sum) {
-    const int partition = static_cast<int>(sum % static_cast<uint64_t>(partitions));
-    if (quota_share(settings, replica, job.spec.team, partition).cpus >= job.spec.request.cpus)
-      return partition;
-  }
-  return 0;
+model::Revision division_revision(const store::Replica& replica, const std::string& team) {
+  auto division = replica.quota_divisions.find(team);
+  return division == replica.quota_divisions.end() ? model::kNoRevision : division->second.revision;
+}
+
+model::QuotaShare quota_of_tasks(const model::JobSpec& spec, double tasks) {
+  return {tasks * spec.request.cpus, tasks * spec.request.gpus};
+}
+
+model::QuotaShare without(const model::QuotaShare& share, const model::QuotaShare& amount) {
+  return {std::max(0.0, share.cpus - amount.cpus), std::max(0.0, share.gpus - amount.gpus)};
 }
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -4,10 +4,7 @@
 #include <cmath>
 #include <iterator>
 #include <utility>
-#include <vector>
 
-#include "rooksill/model/coordination.h"
-#include "rooksill/model/identifiers.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -15,103 +12,110 @@
 
 namespace {
 
-// A share of a limit that is not set is infinite, and nothing of it is passed on or recorded.
+// A share of a quota that is not limited is infinite; nothing of it is passed on or recorded.
 double finite(double amount) { return std::isfinite(amount) ? amount : 0; }
 
 }  // namespace
 
-model::Revision QuotaTransfers::revision_of(const std::string& team) const {
-  auto known = replica_.quota_divisions.find(team);
-  return known == replica_.quota_divisions.end() ? model::kNoRevision : known->second.revision;
-}
-
 model::QuotaShare QuotaTransfers::leaving(const std::string& team, int partition) const {
-  auto it = pending_.find(team);
-  if (it == pending_.end() || it->second.from != partition) return {};
-  // Once the division has changed, the state says what is left, whoever changed it.
-  if (revision_of(team) != it->second.revision) return {};
-  return it->second.amount;
+  auto found = transfers_.find(team);
+  if (found == transfers_.end() || found->second.from != partition) return {};
+  // Once the division has changed, the store says what is left, whoever changed it.
+  if (division_revision(replica_, team) != found->second.division) return {};
+  return found->second.amount;
 }
 
-void QuotaTransfers::start(const wire::QuotaTransfer& t, const model::QuotaShare& unused) {
+void QuotaTransfers::start(const wire::QuotaTransfer& request, const model::QuotaShare& unused) {
   const int partitions = static_cast<int>(replica_.leases.size());
-  if (t.to < 0 || t.to >= partitions || t.to == t.from) return;
-  if (!wire::valid_quota_key(t.team) || pending_.count(t.team) != 0 ||
-      t.revision != revision_of(t.team))
-    return;
-  Pending p;
-  p.from = t.from;
-  p.to = t.to;
-  p.amount.cpus = std::min(t.cpus, finite(unused.cpus));
-  p.amount.gpus = std::min(t.gpus, finite(unused.gpus));
-  if (!(p.amount.cpus >= 0) || !(p.amount.gpus >= 0) || p.amount.cpus + p.amount.gpus <= 0) return;
-  p.revision = t.revision;
-  p.lease = replica_.leases[static_cast<size_t>(t.from)].revision;
-  ctx_.info("holder", "team {}: {} cores and {} gpus of its limit pass from block {} to block {}",
-            t.team, p.amount.cpus, p.amount.gpus, p.from, p.to);
-  send(t.team, pending_.emplace(t.team, p).first->second);
+  if (request.to < 0 || request.to >= partitions || request.to == request.from) return;
+  if (!wire::valid_quota_key(request.team) || transfers_.count(request.team) != 0) return;
+  if (request.revision != division_revision(replica_, request.team)) return;
+  Transfer transfer;
+  transfer.from = request.from;
+  transfer.to = request.to;
+  transfer.amount.cpus = std::min(request.cpus, finite(unused.cpus));
+  transfer.amount.gpus = std::min(request.gpus, finite(unused.gpus));
+  const model::QuotaShare& amount = transfer.amount;
+  const bool valid = amount.cpus >= 0 && amount.gpus >= 0 && amount.cpus + amount.gpus > 0;
+  if (!valid) return;
+  transfer.division = request.revision;
+  transfer.lease = replica_.leases[static_cast<size_t>(request.from)].revision;
+  context_.info("quota", "team {}: {} CPUs and {} GPUs of its quota pass from partition {} to {}",
+                request.team, amount.cpus, amount.gpus, transfer.from, transfer.to);
+  send(request.team, transfers_.emplace(request.team, transfer).first->second);
 }
 
-void QuotaTransfers::send(const std::string& team, Pending& p) {
+std::vector<model::QuotaShare> QuotaTransfers::division_after(const std::string& team,
+                                                              const Transfer& transfer) const {
   const int partitions = static_cast<int>(replica_.leases.size());
   std::vector<model::QuotaShare> shares;
-  for (int b = 0; b < partitions; ++b) {
-    const model::QuotaShare share = quota_share(ctx_.settings, replica_, team, b);
+  for (int partition = 0; partition < partitions; ++partition) {
+    const model::QuotaShare share = quota_share(context_.settings, replica_, team, partition);
     shares.push_back({finite(share.cpus), finite(share.gpus)});
   }
-  model::QuotaShare& from = shares[static_cast<size_t>(p.from)];
-  model::QuotaShare& to = shares[static_cast<size_t>(p.to)];
-  from.cpus -= p.amount.cpus;
-  from.gpus -= p.amount.gpus;
-  to.cpus += p.amount.cpus;
-  to.gpus += p.amount.gpus;
-  p.busy = committer_.commit(
-      {{wire::quota_key(team), p.revision}, {wire::lease_key(p.from), p.lease}},
-      {{wire::quota_key(team), wire::encode_quota_division(shares), 0}},
-      [this, team](const store::TransactionResult& result) { settle(team, result); });
+  model::QuotaShare& from = shares[static_cast<size_t>(transfer.from)];
+  model::QuotaShare& to = shares[static_cast<size_t>(transfer.to)];
+  from.cpus -= transfer.amount.cpus;
+  from.gpus -= transfer.amount.gpus;
+  to.cpus += transfer.amount.cpus;
+  to.gpus += transfer.amount.gpus;
+  return shares;
+}
+
+void QuotaTransfers::send(const std::string& team, Transfer& transfer) {
+  const std::string key = wire::quota_key(team);
+  const bool sent = committer_.commit(
+      {{key, transfer.division}, {wire::lease_key(transfer.from), transfer.lease}},
+      {{key, wire::encode_quota_division(division_after(team, transfer)), 0}},
+      [this, team](const store::TransactionResult& result) { on_result(team, result); });
+  transfer.progress = sent ? Progress::kSent : Progress::kToSend;
 }
 
-void QuotaTransfers::settle(const std::string& team, const store::TransactionResult& result) {
-  auto it = pending_.find(team);
-  if (it == pending_.end()) return;
-  Pending& p = it->second;
-  auto read_back = [this, team](std::vector<std::string> keys) {
-    committer_.refresh(std::move(keys), [this, team] {
-      if (auto again = pending_.find(team); again != pending_.end()) again->second.busy = false;
-    });
-  };
+void QuotaTransfers::on_result(const std::string& team, const store::TransactionResult& result) {
+  auto found = transfers_.find(team);
+  if (found == transfers_.end()) return;
+  Transfer& transfer = found->second;
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied:
-      ctx_.count("limit_transfers");
-      pending_.erase(it);
+      context_.count("limit_transfers");
+      transfers_.erase(found);
       return;
     case store::TransactionOutcome::kConflict:
-      // A guard failed, and the keys read back show which: tick() forgets the transfer then.
-      read_back(result.failed);
-      return;
+      // The keys read back show which precondition failed: tick() forgets the transfer then.
+      return read_back(team, transfer, result.failed);
     case store::TransactionOutcome::kUnknown:
-      p.uncertain = true;
-      read_back({wire::quota_key(team)});
-      return;
+      transfer.unanswered_copy = true;
+      return read_back(team, transfer, {wire::quota_key(team)});
     case store::TransactionOutcome::kRefused:
     case store::TransactionOutcome::kNoLease:
     case store::TransactionOutcome::kTooLarge:
-      p.busy = false;
-      // Not executed. Where one before may yet be, the amount stays gone until that is settled.
-      if (!p.uncertain) pending_.erase(it);
+      // Not executed. Where an earlier copy may yet be, the amount stays gone until that is
+      // settled.
+      transfer.progress = Progress::kToSend;
+      if (!transfer.unanswered_copy) transfers_.erase(found);
       return;
   }
 }
 
+void QuotaTransfers::read_back(const std::string& team, Transfer& transfer,
+                               std::vector<std::string> keys) {
+  transfer.progress = Progress::kReadingBack;
+  committer_.refresh(std::move(keys), [this, team] {
+    auto found = transfers_.find(team);
+    if (found != transfers_.end()) found->second.progress = Progress::kToSend;
+  });
+}
+
 void QuotaTransfers::tick(const OwnsPartition& owns) {
-  for (auto it = pending_.begin(); it != pending_.end();) {
-    const auto& [team, p] = *it;
-    // With either guard changed, no copy of the transaction can be carried out any more.
-    const bool over = !owns(p.from, p.lease) || revision_of(team) != p.revision;
-    it = over && !p.busy ? pending_.erase(it) : std::next(it);
+  for (auto it = transfers_.begin(); it != transfers_.end();) {
+    const auto& [team, transfer] = *it;
+    // With either precondition changed, no copy of the transaction can be executed any more.
+    const bool over = !owns(transfer.from, transfer.lease) ||
+                      division_revision(replica_, team) != transfer.division;
+    it = over && transfer.progress == Progress::kToSend ? transfers_.erase(it) : std::next(it);
   }
-  for (auto& [team, p] : pending_)
-    if (!p.busy) send(team, p);
+  for (auto& [team, transfer] : transfers_)
+    if (transfer.progress == Progress::kToSend) send(team, transfer);
 }
 
 }  // namespace rooksill::quota
