--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -16,6 +16,11 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
+const Worker* WorkerTable::find(const std::string& name) const {
+  auto it = workers_.find(name);
+  return it == workers_.end() ? nullptr : &it->second;
+}
+
 void WorkerTable::add(const std::string& name, int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
   Worker worker;
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -26,6 +26,7 @@
 
   // Null if there is no such worker.
   Worker* find(const std::string& name);
+  const Worker* find(const std::string& name) const;
   // Adds the worker of a machine that the store lists in a partition owned here.
   void add(const std::string& name, int partition);
   void remove(const std::string& name) { workers_.erase(name); }
--- /dev/null
+++ b/src/rooksill/changes/shard_changes.h
@@ -0,0 +1,61 @@
+// The changes of one shard's tasks that the store does not have yet.
+#pragma once
+
+#include <cstdint>
+#include <map>
+
+#include "rooksill/changes/task_change.h"
+#include "rooksill/model/identifiers.h"
+
+namespace rooksill::changes {
+
+// Changes wait until they are sent in one transaction, and stay `sent` until its outcome is
+// certain. Meanwhile new ones may wait beside them; those are not sent before that.
+class ShardChanges {
+ public:
+  using ByIndex = std::map<uint32_t, TaskChange>;  // by the task's index in the shard
+
+  enum class Progress {
+    kWaiting,      // nothing was sent, or what was sent has a certain outcome
+    kSent,         // a transaction has no answer yet
+    kReadingBack,  // it failed or may have failed: the keys it concerns are being read
+  };
+
+  // The change of a task that is sent, or else the one that waits; nullptr if there is none.
+  const TaskChange* find(uint32_t index) const;
+  const ByIndex& waiting() const { return waiting_; }
+  const ByIndex& sent() const { return sent_; }
+
+  // Whether changes were sent whose outcome is not certain.
+  bool in_flight() const { return progress_ != Progress::kWaiting; }
+  // The shard's revision that the sent changes rest on: none of them can be applied any more once
+  // it has changed.
+  model::Revision sent_on() const { return sent_on_; }
+  // When the oldest of the waiting changes came, in seconds of the steady clock.
+  double waiting_since() const { return waiting_since_; }
+
+  // Adds a change that waits. A placement after a loss that still waits takes its place and records
+  // both. Any other task that has a change waiting keeps that one.
+  void add(uint32_t index, TaskChange change, double now);
+  // Removes a change that waits. Returns the position after it.
+  ByIndex::const_iterator remove_waiting(ByIndex::const_iterator position) {
+    return waiting_.erase(position);
+  }
+  ByIndex take_waiting();
+
+  void mark_sent(model::Revision shard_revision);
+  void mark_reading_back() { progress_ = Progress::kReadingBack; }
+  // The outcome is certain: removes what was sent.
+  ByIndex take_sent();
+  // What was sent waits again, except where a newer change waits already.
+  void return_sent();
+
+ private:
+  ByIndex waiting_;
+  ByIndex sent_;
+  Progress progress_ = Progress::kWaiting;
+  model::Revision sent_on_ = model::kNoRevision;
+  double waiting_since_ = 0;
+};
+
+}  // namespace rooksill::changes
--- a/src/rooksill/partition/owner_gang_placement.cc
+++ b/src/rooksill/partition/owner_gang_placement.cc
@@ -32,14 +32,14 @@
 bool PartitionOwner::gang_broken(const model::Job& job) const {
   for (uint32_t c = 0; c < job.shards.size(); ++c) {
     const model::TaskShard& shard = job.shards[c];
-    auto work = work_.find({job.spec.id, c});
+    const changes::ShardChanges* pending = changes_.find_shard({job.spec.id, c});
     for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
       const model::TaskState& t = shard.tasks[i];
       if (t.done) continue;
       if (t.machine.empty()) return true;
       if (replica_.machine_gone(t.machine) && replica_.lists_cover(shard)) return true;
-      if (work == work_.end()) continue;
-      const TaskChange* change = change_in(work->second, i);
+      if (pending == nullptr) continue;
+      const TaskChange* change = pending->find(i);
       if (change != nullptr && change->kind == TaskChange::Kind::kLost) return true;
     }
   }
@@ -64,15 +64,15 @@
 // The number of the next attempt, if all tasks of the one before are gone for certain.
 std::optional<uint64_t> PartitionOwner::next_gang_attempt(const model::Job& job) const {
   const model::TaskShard& shard = job.shards.front();
-  auto own = work_.find({job.spec.id, 0});
+  const changes::ShardChanges* pending = changes_.find_shard({job.spec.id, 0});
   uint64_t last = 0;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& t = shard.tasks[i];
     last = std::max(last, t.attempt);
-    const TaskChange* change = own == work_.end() ? nullptr : change_in(own->second, i);
+    const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
-      if (change->kind != TaskChange::Kind::kLost || own->second.busy) return std::nullopt;
+      if (change->kind != TaskChange::Kind::kLost || pending->in_flight()) return std::nullopt;
     } else if (!replica_.waits(t) || (!t.machine.empty() && !replica_.lists_cover(shard))) {
       return std::nullopt;
     }
@@ -127,7 +127,7 @@
     agent::Worker& w = *workers[place.option];
     for (uint32_t k = 0; k < place.tasks; ++k) {
       const model::TaskRef ref{s.id, next++};
-      change(ref, TaskChange::placed(w.name, w.room.partition, *attempt));
+      changes_.add(ref, TaskChange::placed(w.name, w.room.partition, *attempt));
     }
     ctx_.debug("placer", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}", place.tasks,
                s.id, *attempt, w.name, ctx_.now.wall - job.submitted,
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -386,7 +386,7 @@
     }
     if (job != nullptr) {
       const model::TaskShard& c = job->shards[it->index];
-      const bool ended = work_.count(*it) != 0;  // and may have a place to find anew
+      const bool ended = changes_.find_shard(*it) != nullptr;  // and may have a place to find anew
       if ((ended || c.done + c.placed < c.tasks.size()) && !backing_off(it->job))
         waiting.push_back({job, it->index, due_time(*job)});
     }
@@ -417,7 +417,7 @@
   for (const auto& c : waiting)
     if (c.job->spec.shape == model::Shape::kGang)
       place_gang(c, workers);
-    else if (may_decide(c))
+    else if (changes_.may_decide(*c.job, c.shard))
       place_shard(c, workers);
 }
 
@@ -436,14 +436,13 @@
     return;
   // Tasks of one shard are alike: all of them look for places at once.
   std::vector<uint32_t> todo;
-  auto own = work_.find({s.id, c.shard});
-  const ShardWork* pending = own == work_.end() ? nullptr : &own->second;
+  const changes::ShardChanges* pending = changes_.find_shard({s.id, c.shard});
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& t = shard.tasks[i];
-    const TaskChange* change = pending == nullptr ? nullptr : change_in(*pending, i);
+    const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == TaskChange::Kind::kLost && !pending->busy) todo.push_back(i);
+      if (change->kind == TaskChange::Kind::kLost && !pending->in_flight()) todo.push_back(i);
     } else if (replica_.waits(t) && (t.machine.empty() || replica_.lists_cover(shard))) {
       todo.push_back(i);
     }
@@ -459,7 +458,7 @@
       if (s.one_zone) only_zone = m->zone;
     };
     for (uint32_t k = 0; k < job.shards.size(); ++k) {
-      auto work = work_.find({s.id, k});
+      const changes::ShardChanges* changes_there = changes_.find_shard({s.id, k});
       const auto& tasks = job.shards[k].tasks;
       for (uint32_t i = 0; i < tasks.size(); ++i) {
         if (tasks[i].machine.empty()) continue;
@@ -468,14 +467,14 @@
           auto it = changes.find(i);
           return it != changes.end() && it->second.kind == TaskChange::Kind::kLost;
         };
-        if (work != work_.end() && ended(work->second.waiting)) continue;
+        if (changes_there != nullptr && ended(changes_there->waiting())) continue;
         // A machine that is in no list here may have been dealt since the lists were known, and its
         // zone is not known then: others' shards come faster than the watch.
         if (replica_.machine_gone(tasks[i].machine) && !replica_.lists_cover(job.shards[k])) return;
         count(tasks[i].machine);
       }
-      if (work == work_.end()) continue;
-      for (const auto* changes : {&work->second.waiting, &work->second.sent})
+      if (changes_there == nullptr) continue;
+      for (const auto* changes : {&changes_there->waiting(), &changes_there->sent()})
         for (const auto& [i, change] : *changes)
           if (change.kind == TaskChange::Kind::kPlaced) count(change.machine.name);
     }
@@ -525,7 +524,7 @@
       const uint32_t i = todo[next++];
       const uint64_t attempt = shard.tasks[i].attempt + 1;
       const model::TaskRef ref{s.id, c.shard * job.tasks_per_shard + i};
-      change(ref, TaskChange::placed(w->name, w->room.partition, attempt));
+      changes_.add(ref, TaskChange::placed(w->name, w->room.partition, attempt));
       ctx_.debug("placer", "task {} attempt {} goes to {} after {:.2f} s{}", wire::task_name(ref),
                  attempt, w->name, ctx_.now.wall - job.submitted,
                  w->images.contains(job.image) ? "" : ", image not there");
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -11,30 +11,18 @@
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/routing/fallback_routing.h"
 #include "rooksill/runtime/socket_budget.h"
-#include "rooksill/wire/store_codec.h"
 
 namespace rooksill::partition {
 
 using changes::TaskChange;
 
 namespace {
-constexpr int kMaxInFlight = 2;
-constexpr double kBackoff = 0.15;   // after the state refused
 constexpr double kEntitled = 0.95;  // part of the time by which a cancellation outlasts a lease
 constexpr double kCommandReports = 0.5;  // patience with a direct command, in reports
 constexpr int kSuspectJob = 3;           // machines a job must fail on to be suspected itself
 constexpr int kSuspectMachine = 3;       // failures in a row that make a machine suspect
 constexpr double kMaxBackoffReports = 10;
 constexpr size_t kMaxCommands = 64;  // in one command
-constexpr double kDeferReports = 3;  // results that complete nothing are gathered for so long
-constexpr size_t kGroupBytes =
-    size_t{40} * 1024;             // of a transaction, well below the protocol's most
-constexpr double kTxnShare = 0.6;  // part of a second's writes that one transaction may take
-// Parts of the writes left to others: by decisions to results, by gathered results to both.
-constexpr double kDecisionReserve = 0.1, kDeferredReserve = 0.4;
-constexpr double kDecidedAhead = 0.25;  // s of writes that decisions may wait for
-constexpr int kFirstDecision = 1;       // rank of decisions of the highest priority
-constexpr int kDeferred = 5;            // rank of results that complete nothing
 }  // namespace
 
 PartitionOwner::PartitionOwner(runtime::Context& ctx, store::Replica& replica,
@@ -43,7 +31,6 @@
     : ctx_(ctx),
       replica_(replica),
       client_(client),
-      committer_(committer),
       cancellations_(cancellations),
       owned_(replica),
       workers_(ctx, replica),
@@ -51,6 +38,7 @@
                         [this](agent::Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
                           accept_heartbeat(worker, heartbeat);
                         }),
+      changes_(ctx, replica, client, committer, owned_, *this),
       transfers_(ctx, replica, committer) {}
 
 bool PartitionOwner::backing_off(const std::string& job) const {
@@ -237,13 +225,13 @@
       continue;
     }
     matched.insert(t.task);
-    if (changing(t.task)) continue;
+    if (changes_.pending(t.task)) continue;
     const model::Job* job = replica_.job(t.task.job);
     if (t.phase == wire::TaskPhase::kExited) {
       if (t.cause == wire::ExitCause::kDone) {
         w.failures.consecutive = 0;
         w.failures.jobs.clear();
-        change(t.task, TaskChange::done(w.name, w.partition, t.attempt));
+        changes_.add(t.task, TaskChange::done(w.name, w.partition, t.attempt));
       } else if (sure) {
         lost(w, t);
       }
@@ -253,7 +241,7 @@
     if (auto o = command_for(w, t, *job)) command(std::move(*o));
   }
   for (const auto& ref : replica_.placed_on(w.name)) {
-    if (matched.count(ref) != 0 || changing(ref)) continue;
+    if (matched.count(ref) != 0 || changes_.pending(ref)) continue;
     if (auto o = command_for_unreported(w, ref, *replica_.job(ref.job), sure))
       command(std::move(*o));
   }
@@ -299,7 +287,7 @@
   if (!lost) return wire::WorkerCommand{wire::WorkerCommand::Op::kStart, ref, attempt, 0};
   if (!sure) return std::nullopt;
   w.running_since.erase(ref);
-  change(ref, TaskChange::lost(w.name, w.partition, attempt));
+  changes_.add(ref, TaskChange::lost(w.name, w.partition, attempt));
   return std::nullopt;
 }
 
@@ -326,7 +314,7 @@
     w.failures.avoid_until = ctx_.now.steady + ctx_.settings.platform.report_s / 3;
   }
   w.running_since.erase(t.task);
-  change(t.task, TaskChange::lost(w.name, w.partition, t.attempt));
+  changes_.add(t.task, TaskChange::lost(w.name, w.partition, t.attempt));
 }
 
 // A machine on which task after task fails is returned; a job that fails on machine after machine
@@ -362,427 +350,24 @@
 
 // ---- changes of state ----------------------------------------------------------------------
 
-const TaskChange* PartitionOwner::change_of(const model::TaskRef& task) const {
-  const model::Job* job = replica_.job(task.job);
-  if (job == nullptr) return nullptr;
-  auto it = work_.find({task.job, task.index / job->tasks_per_shard});
-  if (it == work_.end()) return nullptr;
-  return change_in(it->second, task.index % job->tasks_per_shard);
+void PartitionOwner::on_change_added(const model::TaskRef& task, const TaskChange& change) {
+  agent::Worker* worker = workers_.find(change.machine.name);
+  if (worker == nullptr) return;
+  worker->room_stale = worker->status_changed = true;
+  if (change.kind == TaskChange::Kind::kPlaced) worker->pending_placements.insert(task);
 }
 
-const TaskChange* PartitionOwner::change_in(const ShardWork& work, uint32_t index) {
-  for (const auto* changes : {&work.sent, &work.waiting})
-    if (auto c = changes->find(index); c != changes->end()) return &c->second;
-  return nullptr;
-}
-
-void PartitionOwner::change(const model::TaskRef& task, TaskChange c) {
-  const model::Job* job = replica_.job(task.job);
-  if (job == nullptr) return;
-  agent::Worker* w = workers_.find(c.machine.name);
-  if (w != nullptr) {
-    w->room_stale = w->status_changed = true;
-    if (c.kind == TaskChange::Kind::kPlaced) w->pending_placements.insert(task);
-  }
-  c.machine.lease = replica_.leases[static_cast<size_t>(c.machine.partition)].revision;
-  if (c.kind == TaskChange::Kind::kPlaced) c.basis = basis(*job, c.machine.partition);
-  const model::ShardId id{task.job, task.index / job->tasks_per_shard};
-  ShardWork& work = work_[id];
-  if (work.waiting.empty()) work.since = ctx_.now.steady;
-  const uint32_t index = task.index % job->tasks_per_shard;
-  // A task that has ended somewhere and found another place already: one change says both.
-  auto before = work.waiting.find(index);
-  if (c.kind == TaskChange::Kind::kPlaced && before != work.waiting.end() &&
-      before->second.kind == TaskChange::Kind::kLost) {
-    c.replaces = before->second.machine;
-    work.waiting.erase(before);
-  }
-  work.waiting.insert({index, std::move(c)});
-  if (!work.busy) queue(id, work);
-}
-
-// A change that is not to be written any more, or has been.
-void PartitionOwner::drop_change(const model::ShardId& id, uint32_t index, const TaskChange& c) {
-  agent::Worker* w = workers_.find(c.machine.name);
-  if (w == nullptr) return;
-  const model::Job* job = replica_.job(id.job);
-  if (job != nullptr)
-    w->pending_placements.erase({id.job, id.index * job->tasks_per_shard + index});
-  workers_.mark_changed(*w);
+void PartitionOwner::on_change_removed(const model::TaskRef& task, const TaskChange& change) {
+  agent::Worker* worker = workers_.find(change.machine.name);
+  if (worker == nullptr) return;
+  worker->pending_placements.erase(task);
+  workers_.mark_changed(*worker);
   placement_requested_ = true;
 }
 
-// Whether this owner's machines still have tasks of the shard whose results may be gathered with
-// those that wait. Other owners may have some too, and know as little of ours: a job whose tasks
-// have all ended must not wait for writes to spare at each of them.
-bool PartitionOwner::more_to_come(const model::Job& job, uint32_t shard,
-                                  const ShardWork& work) const {
-  const auto& tasks = job.shards[shard].tasks;
-  for (uint32_t i = 0; i < tasks.size(); ++i) {
-    if (tasks[i].done || tasks[i].machine.empty() || change_in(work, i) != nullptr) continue;
-    const model::Machine* m = replica_.machine(tasks[i].machine);
-    if (m != nullptr && owns(m->partition)) return true;
-  }
-  return false;
-}
-
-// A gang's place holds room on many machines until it is written, and all of its tasks wait for it:
-// it goes with the first, as a replica's does.
-int PartitionOwner::decision_rank(const model::JobSpec& s) {
-  if (s.shape == model::Shape::kGang) return kFirstDecision;
-  return kFirstDecision + static_cast<int>(model::Priority::kProd) - static_cast<int>(s.priority);
-}
-
-// A place that is decided and waits for its write is kept from everybody. Where writes are few, no
-// more is decided than can be written soon: what has more right then finds the room, and each write
-// takes all that has come free by then. A shard that waits for its write may take more at no cost.
-bool PartitionOwner::may_decide(const Candidate& c) const {
-  if (c.job->spec.shape == model::Shape::kService) return true;  // few, and at once
-  if (auto own = work_.find({c.job->spec.id, c.shard}); own != work_.end() && own->second.queued)
-    return true;
-  const auto most = static_cast<size_t>(std::max(2.0, kDecidedAhead * client_.writes_per_s()));
-  size_t ahead = 0;
-  for (const auto& [rank, id] : queue_) {
-    if (rank.first > decision_rank(c.job->spec)) break;
-    if (++ahead >= most) return false;
-  }
-  return true;
-}
-
-void PartitionOwner::queue(const model::ShardId& id, ShardWork& work) {
-  unqueue(id, work);
-  const model::Job* job = replica_.job(id.job);
-  if (job == nullptr || work.waiting.empty()) return;
-  uint32_t done = job->done;
-  bool decided = false, leaving = false;
-  for (const auto& [i, c] : work.waiting) {
-    if (c.kind == TaskChange::Kind::kDone)
-      done += job->spec.shape == model::Shape::kGang ? job->spec.tasks : 1;
-    decided = decided || c.kind != TaskChange::Kind::kDone;
-    // The result would be lost with the machine.
-    agent::Worker* w = workers_.find(c.machine.name);
-    leaving = leaving || (w != nullptr && w->terminates_at);
-  }
-  int rank = kDeferred;
-  if (leaving || done >= job->spec.tasks)
-    rank = 0;
-  else if (decided || !more_to_come(*job, id.index, work))
-    rank = decision_rank(job->spec);
-  work.queued = Rank{rank, work.since};
-  queue_.insert({*work.queued, id});
-}
-
-void PartitionOwner::unqueue(const model::ShardId& id, ShardWork& work) {
-  if (work.queued) queue_.erase({*work.queued, id});
-  work.queued.reset();
-}
-
-// The revisions that a placement depends on: its partition's lease and, where a job's tasks depend
-// on each other's places, all its shards. The transaction guards what is known when it is sent;
-// without this, a decision made on older knowledge would go out under newer guards.
-model::Revision PartitionOwner::basis(const model::Job& job, int partition) const {
-  model::Revision newest = replica_.leases[static_cast<size_t>(partition)].revision;
-  if (job.spec.spread || job.spec.one_zone)
-    for (const auto& c : job.shards) newest = std::max(newest, c.revision);
-  return newest;
-}
-
-// A change is worth what its owner knew. Once the partition was with another in between, that one
-// may have started a lost task in place, which changes nothing in the state: so each lease that a
-// change rests on has to be the one it was decided under, that of the machine left as well.
-bool PartitionOwner::apply_change(const model::Job& job, const model::TaskShard& shard,
-                                  model::TaskState& s, const TaskChange& c) const {
-  if (!owned_.owns_under(c.machine.partition, c.machine.lease)) return false;
-  if (c.kind == TaskChange::Kind::kPlaced) {
-    if (c.replaces && !owned_.owns_under(c.replaces->partition, c.replaces->lease)) return false;
-    const bool reported_gone = c.replaces && !s.done && s.machine == c.replaces->name;
-    const bool gang =
-        job.spec.shape == model::Shape::kGang;  // whose tasks share an attempt's number
-    if (gang ? s.attempt >= c.attempt : s.attempt + 1 != c.attempt) return false;
-    if (job.over() || (!reported_gone && !replica_.waits(s))) return false;
-    if (replica_.machine_gone(c.machine.name) || c.basis != basis(job, c.machine.partition))
-      return false;
-    // Taken from a machine that is in no list: only if the lists are known as far as this shard.
-    // With older lists, a machine just dealt would look gone.
-    if (!s.machine.empty() && !reported_gone && !replica_.lists_cover(shard)) return false;
-    s.machine = c.machine.name;
-    s.attempt = c.attempt;
-    return true;
-  }
-  if (s.done || s.machine != c.machine.name || s.attempt != c.attempt) return false;
-  s.machine.clear();
-  s.done = c.kind == TaskChange::Kind::kDone;
-  return true;
-}
-
-// All tasks of an attempt are placed by one change, or none is; and all are done when one is.
-void PartitionOwner::keep_gang_whole(const model::Job& job, const model::ShardId& id,
-                                     ShardWork& work, std::vector<model::TaskState>& tasks) {
-  if (std::any_of(tasks.begin(), tasks.end(), [](const model::TaskState& t) { return t.done; })) {
-    for (auto& t : tasks) {
-      t.machine.clear();
-      t.done = true;
-    }
-    return;
-  }
-  const auto is_place = [](const auto& c) { return c.second.kind == TaskChange::Kind::kPlaced; };
-  const auto places = std::count_if(work.waiting.begin(), work.waiting.end(), is_place);
-  const bool whole = static_cast<size_t>(places) == tasks.size() &&
-                     std::all_of(tasks.begin(), tasks.end(), [&](const model::TaskState& t) {
-                       return t.attempt == tasks.front().attempt;
-                     });
-  if (whole) return;
-  for (auto c = work.waiting.begin(); c != work.waiting.end();) {
-    if (is_place(*c))
-      c = drop_waiting(job, id, work, c, tasks);
-    else
-      ++c;
-  }
-}
-
-void PartitionOwner::flush() {
-  for (int i = in_flight_; i < kMaxInFlight; ++i) {
-    const int before = in_flight_;
-    flush_group();
-    if (in_flight_ == before) break;
-  }
-}
-
-// What a shard's waiting changes come to. Those that are out of date are dropped; false if nothing
-// is left to be written.
-bool PartitionOwner::apply_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                                   ShardWrite& out) {
-  const model::TaskShard& shard = job.shards[id.index];
-  out.tasks = shard.tasks;
-  for (auto c = work.waiting.begin(); c != work.waiting.end();) {
-    if (!apply_change(job, shard, out.tasks[c->first], c->second))
-      c = drop_waiting(job, id, work, c, out.tasks);
-    else
-      ++c;
-  }
-  if (job.spec.shape == model::Shape::kGang) keep_gang_whole(job, id, work, out.tasks);
-  return !work.waiting.empty();
-}
-
-// Takes a change back that waits to be written.
-PartitionOwner::Changes::iterator PartitionOwner::drop_waiting(
-    const model::Job& job, const model::ShardId& id, ShardWork& work, Changes::iterator at,
-    std::vector<model::TaskState>& tasks) {
-  const auto [index, change] = *at;
-  tasks[index] = job.shards[id.index].tasks[index];
-  const auto next = work.waiting.erase(at);
-  drop_change(id, index, change);
-  return next;
-}
-
-// Whether the shard's value is one that the store takes, also with the limits to come. With
-// names of unusual length places are given up until it is. A value from before the limits were
-// lowered may be too large without any: it waits until enough of its tasks have ended.
-bool PartitionOwner::fits_value(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                                ShardWrite& out) {
-  const size_t most = ctx_.settings.platform.state_value_bytes;
-  const bool gang = job.spec.shape == model::Shape::kGang;
-  out.bytes = out.value.dump().size();
-  for (auto c = work.waiting.end(); out.bytes > most; out.bytes = out.value.dump().size()) {
-    while (c != work.waiting.begin() && std::prev(c)->second.kind != TaskChange::Kind::kPlaced) --c;
-    if (c == work.waiting.begin() || gang) return false;
-    c = drop_waiting(job, id, work, std::prev(c), out.tasks);
-    out.value = wire::encode_shard(out.tasks);
-  }
-  return !work.waiting.empty();
-}
-
-// The revisions that a shard's changes rest on.
-void PartitionOwner::add_preconditions(const model::Job& job, const model::ShardId& id,
-                                       const ShardWork& work, ShardWrite& out) const {
-  bool places = false;
-  for (const auto& [i, c] : work.waiting) {
-    places = places || c.kind == TaskChange::Kind::kPlaced;
-    out.preconditions[wire::lease_key(c.machine.partition)] = c.machine.lease;
-    if (c.replaces) out.preconditions[wire::lease_key(c.replaces->partition)] = c.replaces->lease;
-  }
-  out.preconditions[wire::shard_key(id.job, id.index)] = job.shards[id.index].revision;
-  if (places || out.last) out.preconditions[wire::job_key(id.job)] = job.revision;
-  // Where a task may go depends on where the job's others are, in whatever shard.
-  if (places && (job.spec.spread || job.spec.one_zone))
-    for (uint32_t c = 0; c < job.shards.size(); ++c)
-      out.preconditions[wire::shard_key(id.job, c)] = job.shards[c].revision;
-}
-
-// Adds a shard's waiting changes to the transaction, as far as they are still of use.
-PartitionOwner::Added PartitionOwner::add_to_group(const model::ShardId& id, Group& group) {
-  ShardWork& work = work_[id];
-  const model::Job* job = replica_.job(id.job);
-  ShardWrite write;
-  const bool known = job != nullptr && id.index < job->shards.size();
-  if (!known)
-    for (const auto& [i, c] : std::exchange(work.waiting, {})) drop_change(id, i, c);
-  if (!known || !apply_waiting(*job, id, work, write)) {
-    unqueue(id, work);
-    work_.erase(id);
-    return Added::kNothing;
-  }
-  const model::TaskShard& shard = job->shards[id.index];
-  uint32_t done = job->done - shard.done, on_machines = 0;
-  for (const auto& t : write.tasks) {
-    done += t.done ? 1 : 0;
-    on_machines += t.machine.empty() ? 0 : 1;
-  }
-  const bool finishes = done == job->spec.tasks && !job->over();
-  // What a job that is over leaves behind is of no use to anybody.
-  write.last = finishes || (job->over() && on_machines == 0);
-  if (!write.last) {
-    write.value = wire::encode_shard(write.tasks);
-    if (!fits_value(*job, id, work, write)) {
-      ctx_.count("too_large");
-      return Added::kNothing;
-    }
-  }
-  add_preconditions(*job, id, work, write);
-  const auto fresh =
-      std::count_if(write.preconditions.begin(), write.preconditions.end(),
-                    [&](const auto& g) { return group.preconditions.count(g.first) == 0; });
-  const size_t most_guards = ctx_.settings.platform.state_txn_ops * 4;
-  if (group.preconditions.size() + static_cast<size_t>(fresh) > most_guards &&
-      !group.shards.empty())
-    return Added::kFull;
-  group.preconditions.insert(write.preconditions.begin(), write.preconditions.end());
-  group.add({wire::shard_key(id.job, id.index), std::move(write.value), 0}, write.bytes);
-  if (finishes) {
-    model::Job ended;
-    ended.spec.tasks = job->spec.tasks;
-    ended.end = model::JobEnd::kDone;
-    group.add({wire::job_key(id.job), wire::encode_job(ended), 0},
-              0);  // a few bytes, as those around it
-  }
-  unqueue(id, work);
-  for (const auto& [i, c] : work.waiting)
-    ctx_.count(c.kind == TaskChange::Kind::kPlaced ? "tasks_placed"
-               : c.kind == TaskChange::Kind::kLost ? "tasks_lost"
-                                                   : "tasks_done");
-  work.sent = std::exchange(work.waiting, {});
-  work.sent_on = shard.revision;
-  work.busy = true;
-  group.shards.push_back(id);
-  return Added::kShard;
-}
-
-void PartitionOwner::Group::add(store::Write write, size_t value_bytes) {
-  constexpr size_t kAround = 200;  // bytes of a write besides its value, and of its guards
-  keys.push_back(write.key);
-  if (value_bytes > 0) bytes += value_bytes + kAround;
-  writes.push_back(std::move(write));
-}
-
-void PartitionOwner::flush_group() {
-  if (in_flight_ >= kMaxInFlight || queue_.empty() || ctx_.now.steady < backoff_until_) return;
-  const auto& p = ctx_.settings.platform;
-  const size_t most = std::max<size_t>(
-      2,
-      std::min<size_t>(p.state_txn_ops, static_cast<size_t>(client_.writes_per_s() * kTxnShare)));
-  const double gather = kDeferReports * p.report_s;
-  Group group;
-  auto may_add = [&](int rank) {
-    const double reserve = rank == 0 ? 0 : rank < kDeferred ? kDecisionReserve : kDeferredReserve;
-    // The next shard may end its job, which is a write more.
-    return client_.room_for(static_cast<double>(group.writes.size()) + 2 + client_.kept(), reserve);
-  };
-  for (auto q = queue_.begin(); q != queue_.end();) {
-    const auto [rank, since] = q->first;
-    const model::ShardId id = q->second;
-    if (!may_add(rank) || group.writes.size() + 2 > most || group.bytes > kGroupBytes) break;
-    if (rank == kDeferred && ctx_.now.steady - since < gather) break;
-    ++q;
-    const Added added = add_to_group(id, group);
-    if (added == Added::kFull) break;
-    if (added == Added::kShard)
-      ctx_.count(rank == 0 ? "results" : rank < kDeferred ? "decisions" : "gathered");
-  }
-  if (group.shards.empty()) return;
-  std::vector<store::Precondition> preconditions;
-  preconditions.reserve(group.preconditions.size());
-  for (const auto& [k, s] : group.preconditions) preconditions.push_back({k, s});
-  bool sent = committer_.commit(
-      preconditions, std::move(group.writes),
-      [this, shards = group.shards, keys = group.keys](const store::TransactionResult& r) {
-        --in_flight_;
-        settle(shards, r, keys);
-      });
-  if (sent)
-    ++in_flight_;
-  else
-    send_again(group.shards);
-}
-
-void PartitionOwner::send_again(const std::vector<model::ShardId>& shards) {
-  for (const auto& id : shards) {
-    ShardWork& work = work_[id];
-    // What was decided since stays; what was sent is tried again.
-    for (auto& c : work.sent) work.waiting.insert(c);
-    work.sent.clear();
-    work.busy = false;
-    queue(id, work);
-  }
-}
-
-void PartitionOwner::drop_sent(const std::vector<model::ShardId>& shards) {
-  for (const auto& id : shards) {
-    auto it = work_.find(id);
-    if (it == work_.end()) continue;
-    for (const auto& [i, c] : std::exchange(it->second.sent, {})) drop_change(id, i, c);
-    it->second.busy = false;
-    if (it->second.waiting.empty())
-      work_.erase(it);
-    else
-      queue(id, it->second);
-  }
-}
-
-// After a transaction without an answer, read back. One whose shard has changed can no longer be
-// carried out. Otherwise it may be, seconds from now, and nothing that it says may be taken back
-// till then: a place keeps its room and its part of the team's limit, and a task that it writes
-// lost is not started over in place. The same is sent again; whichever comes first, the other one
-// fails.
-void PartitionOwner::resolve(const std::vector<model::ShardId>& shards) {
-  for (const auto& id : shards) {
-    const model::Job* job = replica_.job(id.job);
-    auto work = work_.find(id);
-    const bool pending = job != nullptr && work != work_.end() && id.index < job->shards.size() &&
-                         job->shards[id.index].revision == work->second.sent_on;
-    if (pending)
-      send_again({id});
-    else
-      drop_sent({id});
-  }
-}
-
-void PartitionOwner::settle(const std::vector<model::ShardId>& shards,
-                            const store::TransactionResult& result, std::vector<std::string> keys) {
-  switch (result.outcome) {
-    case store::TransactionOutcome::kApplied: {
-      drop_sent(shards);
-      return;
-    }
-    case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
-    case store::TransactionOutcome::kTooLarge:
-      ctx_.count("refused");
-      backoff_until_ = ctx_.now.steady + kBackoff;
-      send_again(shards);
-      return;
-    case store::TransactionOutcome::kConflict:
-      ctx_.count("conflicts", static_cast<double>(shards.size()));
-      ctx_.debug("holder", "transaction of {} chunks failed on {}", shards.size(),
-                 result.failed.empty() ? "" : result.failed.front());
-      committer_.refresh(result.failed, [this, shards] {
-        // Nothing of what was decided on old knowledge is kept; it is derived anew.
-        drop_sent(shards);
-      });
-      return;
-    case store::TransactionOutcome::kUnknown:
-      committer_.refresh(std::move(keys), [this, shards] { resolve(shards); });
-      return;
-  }
+bool PartitionOwner::terminating(const std::string& machine) const {
+  const agent::Worker* worker = workers_.find(machine);
+  return worker != nullptr && worker->terminates_at.has_value();
 }
 
 // ---- commands ------------------------------------------------------------------------------
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -18,6 +18,8 @@
 #include "rooksill/agent/worker_table.h"
 #include "rooksill/changes/owned_partitions.h"
 #include "rooksill/changes/task_change.h"
+#include "rooksill/changes/task_change_listener.h"
+#include "rooksill/changes/task_change_queue.h"
 #include "rooksill/membership/cancellations.h"
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
@@ -34,7 +36,7 @@
 
 namespace rooksill::partition {
 
-class PartitionOwner {
+class PartitionOwner : private changes::TaskChangeListener {
  public:
   PartitionOwner(runtime::Context& ctx, store::Replica& replica, store::Client& client,
                  store::Committer& committer, const membership::Cancellations& cancellations);
@@ -54,9 +56,9 @@
   void apply_store_changes();  // that came with the batch
   // Passes on shares of limits as the leader asked, as far as they are not in use.
   void transfer_quotas();
-  void place();  // at most once in a while, if there is reason to
-  void flush();  // changes of state, reports' results first
-  void push();   // commands that must be quick
+  void place();                       // at most once in a while, if there is reason to
+  void flush() { changes_.flush(); }  // changes of state, reports' results first
+  void push();                        // commands that must be quick
   void request_placement() { placement_requested_ = true; }
 
   // What changed since the last call, and some others in turn; everything if `all`.
@@ -64,7 +66,7 @@
   std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
   // Of teams with a limit, in the partitions held.
   std::vector<wire::QuotaUse> quota_use();
-  size_t queued() const { return queue_.size(); }
+  size_t queued() const { return changes_.size(); }
   std::string summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_.owns(partition); }
   bool suspects_itself() const { return failure_detector_.suspects_itself(); }
@@ -77,35 +79,6 @@
   std::optional<wire::UnassignedMachine> take_unassigned_machine();
 
  private:
-  // In which order changes go out. Results that complete a job or would be lost first, then
-  // decisions and losses by priority; results that complete nothing wait for writes to spare.
-  using Rank = std::pair<int, double>;
-  using Changes = std::map<uint32_t, changes::TaskChange>;  // by the task's place in its shard
-  struct ShardWork {
-    Changes waiting, sent;
-    model::Revision sent_on = model::kNoRevision;  // revision of the shard that `sent` goes with
-    bool busy = false;
-    std::optional<Rank> queued;
-    double since = 0;
-  };
-  // A shard as it is to be written, with the revisions that this rests on.
-  struct ShardWrite {
-    std::vector<model::TaskState> tasks;
-    nlohmann::json value;  // null: the shard is deleted with its job's end
-    size_t bytes = 0;      // of the value
-    std::map<std::string, model::Revision> preconditions;
-    bool last = false;
-  };
-  // A transaction in the making.
-  struct Group {
-    std::map<std::string, model::Revision> preconditions;
-    std::vector<store::Write> writes;
-    std::vector<model::ShardId> shards;
-    std::vector<std::string> keys;  // to be read back when the outcome is unknown
-    size_t bytes = 0;
-    void add(store::Write write, size_t value_bytes);
-  };
-  enum class Added { kShard, kNothing, kFull };
   struct JobTrouble {
     std::set<std::string> machines;
     int failures = 0;
@@ -132,39 +105,16 @@
   void record_failure(agent::Worker& w, const std::string& job, uint64_t attempt);
   void record_images(agent::Worker& w);
 
-  void change(const model::TaskRef& task, changes::TaskChange c);
-  const changes::TaskChange* change_of(const model::TaskRef& task) const;
-  static const changes::TaskChange* change_in(const ShardWork& work, uint32_t index);
-  bool changing(const model::TaskRef& task) const { return change_of(task) != nullptr; }
-  void resolve(const std::vector<model::ShardId>& shards);
-  void queue(const model::ShardId& id, ShardWork& work);
-  void unqueue(const model::ShardId& id, ShardWork& work);
-  bool more_to_come(const model::Job& job, uint32_t shard, const ShardWork& work) const;
-  static int decision_rank(const model::JobSpec& s);
-  bool may_decide(const Candidate& c) const;
-  void drop_change(const model::ShardId& id, uint32_t index, const changes::TaskChange& c);
-  model::Revision basis(const model::Job& job, int partition) const;
+  // Of changes::TaskChangeListener.
+  void on_change_added(const model::TaskRef& task, const changes::TaskChange& change) override;
+  void on_change_removed(const model::TaskRef& task, const changes::TaskChange& change) override;
+  bool terminating(const std::string& machine) const override;
+
   std::optional<wire::WorkerCommand> command_for_unreported(agent::Worker& w,
                                                             const model::TaskRef& ref,
                                                             const model::Job& job, bool sure);
   std::optional<wire::WorkerCommand> command_for(agent::Worker& w, const wire::ReportedTask& t,
                                                  const model::Job& job);
-  bool apply_change(const model::Job& job, const model::TaskShard& shard, model::TaskState& state,
-                    const changes::TaskChange& c) const;
-  bool apply_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                     ShardWrite& out);
-  Changes::iterator drop_waiting(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                                 Changes::iterator at, std::vector<model::TaskState>& tasks);
-  bool fits_value(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                  ShardWrite& out);
-  void add_preconditions(const model::Job& job, const model::ShardId& id, const ShardWork& work,
-                         ShardWrite& out) const;
-  Added add_to_group(const model::ShardId& id, Group& group);
-  void flush_group();
-  void settle(const std::vector<model::ShardId>& shards, const store::TransactionResult& result,
-              std::vector<std::string> keys);
-  void drop_sent(const std::vector<model::ShardId>& shards);
-  void send_again(const std::vector<model::ShardId>& shards);
   bool entitled() const;
   void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
@@ -195,21 +145,17 @@
   std::map<int, double> gang_tasks_left(const model::JobSpec& s);
   void place_gang(const Candidate& c, const std::vector<agent::Worker*>& workers);
   void make_room_for_gang(const model::Job& job, const std::vector<agent::Worker*>& workers);
-  void keep_gang_whole(const model::Job& job, const model::ShardId& id, ShardWork& work,
-                       std::vector<model::TaskState>& tasks);
   double reserve(const model::JobSpec& s, const placement::Room& r) const;
   double due_time(const model::Job& job) const;
 
   runtime::Context& ctx_;
   store::Replica& replica_;
   store::Client& client_;
-  store::Committer& committer_;
   const membership::Cancellations& cancellations_;
   changes::OwnedPartitions owned_;
   agent::WorkerTable workers_;
   agent::FailureDetector failure_detector_;
-  std::map<model::ShardId, ShardWork> work_;
-  std::set<std::pair<Rank, model::ShardId>> queue_;
+  changes::TaskChangeQueue changes_;
   std::set<model::ShardId> routed_;
   uint64_t routed_term_ = 0;
   std::unordered_map<std::string, JobTrouble> troubles_;
@@ -228,9 +174,8 @@
   double cheapest_ = 1;
   int evictions_ = 0;
   double stops_left_ = 0, stops_at_ = 0;  // that arrays may make room with, and when that was
-  int in_flight_ = 0;
-  int sends_ = 0;  // commands under way
-  double backoff_until_ = 0, next_place_ = 0;
+  int sends_ = 0;                         // commands under way
+  double next_place_ = 0;
   double next_fallback_ = 0;
   bool placement_requested_ = false;
 };
