--- /dev/null
+++ b/src/rooksill/api/job_validator.cc
@@ -0,0 +1,51 @@
+#include "rooksill/api/job_validator.h"
+
+#include <algorithm>
+#include <vector>
+
+#include "rooksill/model/machine.h"
+
+namespace rooksill::api {
+
+namespace {
+
+bool runs_gangs(const PlatformSettings& platform) {
+  return platform.gang_wait_s > 0 && platform.gang_peer_s > 0;
+}
+
+bool exceeds_quota(const model::JobSpec& spec, const TeamQuota& quota) {
+  // An array runs with as little as one task at a time; all others need all of their tasks at once.
+  const double tasks_at_once = spec.shape == model::Shape::kArray ? 1 : spec.tasks;
+  return (quota.cpus_max > 0 && spec.request.cpus * tasks_at_once > quota.cpus_max) ||
+         (quota.gpus_max > 0 && spec.request.gpus * tasks_at_once > quota.gpus_max);
+}
+
+bool fits_machine_type(const model::JobSpec& spec, const model::MachineType& type) {
+  const std::vector<std::string>& zones = type.zones;
+  if (!spec.zone.empty() && std::find(zones.begin(), zones.end(), spec.zone) == zones.end())
+    return false;
+  return spec.request.cpus <= type.capacity.cpus && spec.request.gpus <= type.capacity.gpus &&
+         spec.request.memory_gb <= type.capacity.memory_gb;
+}
+
+}  // namespace
+
+std::optional<std::string> reason_to_reject(const model::JobSpec& spec,
+                                            const PlatformSettings& platform,
+                                            const store::Replica& replica) {
+  const auto quota = platform.teams.find(spec.team);
+  if (quota == platform.teams.end()) return "unknown team";
+  if (spec.shape == model::Shape::kGang) {
+    if (!runs_gangs(platform)) return "workers here run no gangs";
+    // All tasks of an attempt are placed with one change of one value.
+    if (spec.tasks > replica.tasks_per_shard()) return "more tasks than can be started at once";
+  }
+  if (exceeds_quota(spec, quota->second)) return "more than the team's limit";
+  const bool fits = std::any_of(replica.types.begin(), replica.types.end(), [&](const auto& entry) {
+    return spec.allows_type(entry.first) && fits_machine_type(spec, entry.second);
+  });
+  if (!fits) return "a task fits no allowed machine type";
+  return std::nullopt;
+}
+
+}  // namespace rooksill::api
--- /dev/null
+++ b/src/rooksill/api/poll_queue.cc
@@ -0,0 +1,96 @@
+#include "rooksill/api/poll_queue.h"
+
+#include <algorithm>
+
+#include "rooksill/model/job.h"
+#include "rooksill/wire/store_codec.h"
+
+namespace rooksill::api {
+
+namespace {
+constexpr double kRequestShare = 0.15;  // of this controller's requests to the store
+// Polls in one check, and polls queued, per operation that the store allows in a transaction.
+constexpr size_t kPollsPerTxnOp = 4;
+constexpr size_t kQueuedPollsPerTxnOp = 16;
+}  // namespace
+
+PollQueue::PollQueue(runtime::Context& context, const store::Replica& replica,
+                     store::Client& client, Responder& responder, JobLookup& lookup)
+    : context_(context),
+      replica_(replica),
+      client_(client),
+      responder_(responder),
+      lookup_(lookup),
+      pacer_(context.settings.platform, kRequestShare) {}
+
+void PollQueue::poll(uint64_t request, const std::string& id) {
+  const model::Job* job = replica_.job(id);
+  if (job == nullptr)
+    return lookup_.read(request, id, [this, request, id] { responder_.reply_status(request, id); });
+  if (job->over()) return responder_.reply_status(request, id);  // ends are final
+  if (polls_.size() >= context_.settings.platform.state_txn_ops * kQueuedPollsPerTxnOp)
+    return responder_.reply_retry(request);
+  polls_.push_back({request, id, context_.now.steady});
+}
+
+void PollQueue::flush() {
+  drop_expired();
+  const double now = context_.now.steady;
+  if (polls_.empty() || !pacer_.may_send(now)) return;
+  const size_t count =
+      std::min(polls_.size(), context_.settings.platform.state_txn_ops * kPollsPerTxnOp);
+  const std::vector<Poll> group(polls_.begin(), polls_.begin() + static_cast<long>(count));
+  const bool sent = client_.txn(known_revisions(group), {},
+                                [this, group](const store::TransactionResult& result) {
+                                  pacer_.finished();
+                                  finish(group, result);
+                                });
+  if (!sent) return;
+  pacer_.sent(now);
+  polls_.erase(polls_.begin(), polls_.begin() + static_cast<long>(count));
+}
+
+void PollQueue::drop_expired() {
+  while (!polls_.empty() && context_.now.steady - polls_.front().queued_at > kMaxQueueingS) {
+    responder_.reply_retry(polls_.front().request);
+    polls_.pop_front();
+  }
+}
+
+std::vector<store::Precondition> PollQueue::known_revisions(const std::vector<Poll>& group) const {
+  std::vector<store::Precondition> preconditions;
+  std::set<std::string> ids;
+  for (const Poll& poll : group)
+    if (ids.insert(poll.id).second)
+      preconditions.push_back({wire::job_key(poll.id), replica_.job(poll.id)->revision});
+  return preconditions;
+}
+
+void PollQueue::finish(const std::vector<Poll>& group, const store::TransactionResult& result) {
+  switch (result.outcome) {
+    case store::TransactionOutcome::kApplied:
+      return reply_group(group, {});
+    case store::TransactionOutcome::kConflict:
+      return reply_group(group, {result.failed.begin(), result.failed.end()});
+    case store::TransactionOutcome::kRefused:
+    case store::TransactionOutcome::kTooLarge:
+    case store::TransactionOutcome::kUnknown:
+    case store::TransactionOutcome::kNoLease:
+      for (const Poll& poll : group) responder_.reply_retry(poll.request);
+      return;
+  }
+}
+
+// Jobs that have changed in the store are read before their polls are answered.
+void PollQueue::reply_group(const std::vector<Poll>& group,
+                            const std::set<std::string>& changed_keys) {
+  for (const Poll& poll : group) {
+    if (changed_keys.count(wire::job_key(poll.id)) == 0)
+      responder_.reply_status(poll.request, poll.id);
+    else
+      lookup_.read(poll.request, poll.id,
+                   [this, poll] { responder_.reply_status(poll.request, poll.id); });
+  }
+}
+
+}  // namespace rooksill::api
