--- a/tests/runner/replica.cc
+++ b/tests/runner/replica.cc
@@ -1,3 +1,4 @@
+// Scenarios of kind `replica`: a controller's copy of the store's lists of machines.
 #include "rooksill/store/replica.h"
 
 #include <nlohmann/json.hpp>
@@ -6,41 +7,62 @@
 #include "rooksill/model/machine.h"
 #include "rooksill/wire/store_codec.h"
 #include "runner/kinds.h"
+#include "runner/verb_table.h"
 
 namespace runner {
 
-// Pages of machines are applied one by one, as a transaction's changes come; in between and after,
-// a machine is known or gone.
-void run_replica(const std::vector<Line>& lines) {
-  rooksill::store::Replica replica{rooksill::PlatformSettings{}};
-  for (const auto& line : lines) {
-    const std::string verb = line.word(0);
-    if (verb == "kind") continue;
-    if (verb == "page") {
-      std::map<std::string, rooksill::model::Machine> machines;
-      for (size_t i = 4; i < line.words.size(); ++i) {
-        rooksill::model::Machine machine;
-        machine.name = line.words[i];
-        machine.type = "box";
-        machine.zone = "a";
-        machines[machine.name] = machine;
-      }
-      const auto key =
-          rooksill::wire::machines_key(std::stoi(line.word(1)), std::stoi(line.word(2)));
-      const auto revision = std::stoull(line.word(3));
-      const bool taken = replica.apply(key, rooksill::wire::encode_machines(machines),
-                                       rooksill::model::Revision{revision});
-      if (taken != (line.get("taken", 1) != 0)) fail(line, taken ? "taken" : "not taken");
-    } else if (verb == "on") {
-      const rooksill::model::Machine* machine = replica.machine(line.word(1));
-      if (machine == nullptr) fail(line, "gone");
-      near(line, machine->page, line.number_at(2), 0);
-    } else if (verb == "gone") {
-      if (replica.machine(line.word(1)) != nullptr) fail(line, "known");
-    } else {
-      fail(line, "unknown word " + verb);
-    }
+namespace {
+
+using rooksill::model::Machine;
+using rooksill::model::Revision;
+using rooksill::store::Replica;
+
+// page PARTITION PAGE REVISION MACHINE…
+void page(Replica& replica, const Line& line) {
+  std::map<std::string, Machine> machines;
+  for (size_t i = 4; i < line.words.size(); ++i) {
+    Machine machine;
+    machine.name = line.words[i];
+    machine.type = "box";
+    machine.zone = "a";
+    machines[machine.name] = machine;
   }
+  const auto key = rooksill::wire::machines_key(line.integer_at(1), line.integer_at(2));
+  const Revision revision{static_cast<uint64_t>(line.integer_at(3))};
+  const bool taken = replica.apply(key, rooksill::wire::encode_machines(machines), revision);
+  if (taken != (line.get("taken", 1) != 0)) fail(line, taken ? "taken" : "not taken");
+}
+
+// on MACHINE PAGE
+void on(Replica& replica, const Line& line) {
+  const Machine* machine = replica.machine(line.word(1));
+  if (machine == nullptr) fail(line, "gone");
+  near(line, machine->page, line.number_at(2), 0);
+}
+
+// gone MACHINE
+void gone(Replica& replica, const Line& line) {
+  if (replica.machine(line.word(1)) != nullptr) fail(line, "known");
+}
+
+const VerbTable<Replica>& verbs() {
+  static const VerbTable<Replica> kVerbs("verb", {
+                                                     {"kind", {}, [](Replica&, const Line&) {}},
+                                                     {"page", {"taken"}, page},
+                                                     {"on", {}, on},
+                                                     {"gone", {}, gone},
+                                                 });
+  return kVerbs;
+}
+
+}  // namespace
+
+// Pages of machines are applied one by one, as a transaction's changes arrive; in between and
+// after, a machine is known or gone.
+void run_replica(const std::vector<Line>& lines) {
+  for (const auto& line : lines) verbs().check(line);
+  Replica replica{rooksill::PlatformSettings{}};
+  for (const auto& line : lines) verbs().run(replica, line);
 }
 
 }  // namespace runner
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -1,63 +1,101 @@
+// Scenarios of kind `sizing`: figures of the fleet-sizing rule against values worked out apart from
+// the code.
 #include "rooksill/policy/sizing.h"
 
 #include "rooksill/policy/demand.h"
 #include "runner/kinds.h"
+#include "runner/verb_table.h"
 
 namespace runner {
 
-// Figures of the paper's rule against values worked out apart from the code.
+namespace {
+
+namespace policy = rooksill::policy;
+
+constexpr double kTolerance = 1e-6;
+
+void expect_near(const Line& line, double got) {
+  near(line, got, line.get("is", 0), line.get("within", kTolerance));
+}
+
+void busy(policy::Demand&, const Line& line) {
+  expect_near(line, policy::expected_busy(line.get("t", 1), line.get("y", 0), line.get("mu", 1),
+                                          line.get("lambda", 1)));
+}
+
+void full(policy::Demand&, const Line& line) {
+  expect_near(line, policy::chance_full(line.get("s", 1), line.get_integer("y", 0),
+                                        line.get_integer("rented", 1), line.get("mu", 1),
+                                        line.get("lambda", 1)));
+}
+
+void unplanned(policy::Demand&, const Line& line) {
+  expect_near(line, policy::expected_unplanned(line.get("t", 1), line.get_integer("y", 0),
+                                               line.get_integer("rented", 1), line.get("mu", 1),
+                                               line.get("lambda", 1)));
+}
+
+policy::SizingInput read_input(const Line& line) {
+  policy::SizingInput input;
+  input.x = line.get_integer("x", 0);
+  input.y = line.get("y", 0);
+  input.lambda = line.get("lambda", 1);
+  input.mu = line.get("mu", 1);
+  input.ceiling = line.get_integer("ceiling", 20);
+  input.periods = line.get_integer("periods", 3);
+  input.c1 = line.get("c1", 1);
+  input.c2 = line.get("c2", 3);
+  input.h = line.get("h", 1);
+  return input;
+}
+
+void size(policy::Demand&, const Line& line) {
+  const auto result = policy::size_fleet(read_input(line));
+  if (line.has("u")) near(line, result.u, line.get("u", 0), 0);
+  if (line.has("at_least") && result.u < line.get("at_least", 0))
+    fail(line, "u is " + std::to_string(result.u));
+  if (line.has("at_most") && result.u > line.get("at_most", 0))
+    fail(line, "u is " + std::to_string(result.u));
+  if (line.has("cost"))
+    near(line, result.cost, line.get("cost", 0), line.get("within", kTolerance));
+}
+
+void period(policy::Demand& demand, const Line& line) {
+  demand.arrived(line.get("arrived", 0));
+  demand.finished(line.get("finished", 0));
+  demand.busy(line.get("busy", 0), 1);
+  demand.end_period(1, line.get("cap", 3));
+}
+
+void demand(policy::Demand& demand, const Line& line) {
+  const double tolerance = line.get("within", kTolerance);
+  if (line.has("lambda")) near(line, demand.lambda(), line.get("lambda", 0), tolerance);
+  if (line.has("mu")) near(line, demand.mu(), line.get("mu", 0), tolerance);
+}
+
+const VerbTable<policy::Demand>& verbs() {
+  static const VerbTable<policy::Demand> kVerbs(
+      "figure", {
+                    {"kind", {}, [](policy::Demand&, const Line&) {}},
+                    {"busy", {"t", "y", "mu", "lambda", "is", "within"}, busy},
+                    {"full", {"s", "y", "rented", "mu", "lambda", "is", "within"}, full},
+                    {"unplanned", {"t", "y", "rented", "mu", "lambda", "is", "within"}, unplanned},
+                    {"size",
+                     {"x", "y", "lambda", "mu", "ceiling", "periods", "c1", "c2", "h", "u",
+                      "at_least", "at_most", "cost", "within"},
+                     size},
+                    {"period", {"arrived", "finished", "busy", "cap"}, period},
+                    {"demand", {"lambda", "mu", "within"}, demand},
+                });
+  return kVerbs;
+}
+
+}  // namespace
+
 void run_sizing(const std::vector<Line>& lines) {
-  namespace p = rooksill::policy;
-  p::Demand demand;
-  for (const auto& l : lines) {
-    const std::string verb = l.word(0);
-    if (verb == "busy") {
-      near(l, p::expected_busy(l.get("t", 1), l.get("y", 0), l.get("mu", 1), l.get("lambda", 1)),
-           l.get("is", 0), l.get("within", 1e-6));
-    } else if (verb == "full") {
-      near(l,
-           p::chance_full(l.get("s", 1), static_cast<int>(l.get("y", 0)),
-                          static_cast<int>(l.get("rented", 1)), l.get("mu", 1), l.get("lambda", 1)),
-           l.get("is", 0), l.get("within", 1e-6));
-    } else if (verb == "unplanned") {
-      near(l,
-           p::expected_unplanned(l.get("t", 1), static_cast<int>(l.get("y", 0)),
-                                 static_cast<int>(l.get("rented", 1)), l.get("mu", 1),
-                                 l.get("lambda", 1)),
-           l.get("is", 0), l.get("within", 1e-6));
-    } else if (verb == "size") {
-      p::SizingInput in;
-      in.x = static_cast<int>(l.get("x", 0));
-      in.y = l.get("y", 0);
-      in.lambda = l.get("lambda", 1);
-      in.mu = l.get("mu", 1);
-      in.ceiling = static_cast<int>(l.get("ceiling", 20));
-      in.periods = static_cast<int>(l.get("periods", 3));
-      in.c1 = l.get("c1", 1);
-      in.c2 = l.get("c2", 3);
-      in.h = l.get("h", 1);
-      const auto out = p::size_fleet(in);
-      if (l.parameters.count("u") != 0) near(l, out.u, l.get("u", 0), 0);
-      if (l.parameters.count("at_least") != 0 && out.u < l.get("at_least", 0))
-        fail(l, "u is " + std::to_string(out.u));
-      if (l.parameters.count("at_most") != 0 && out.u > l.get("at_most", 0))
-        fail(l, "u is " + std::to_string(out.u));
-      if (l.parameters.count("cost") != 0)
-        near(l, out.cost, l.get("cost", 0), l.get("within", 1e-6));
-    } else if (verb == "period") {
-      demand.arrived(l.get("arrived", 0));
-      demand.finished(l.get("finished", 0));
-      demand.busy(l.get("busy", 0), 1);
-      demand.end_period(1, l.get("cap", 3));
-    } else if (verb == "demand") {
-      if (l.parameters.count("lambda") != 0)
-        near(l, demand.lambda(), l.get("lambda", 0), l.get("within", 1e-6));
-      if (l.parameters.count("mu") != 0)
-        near(l, demand.mu(), l.get("mu", 0), l.get("within", 1e-6));
-    } else if (verb != "kind") {
-      fail(l, "unknown word " + verb);
-    }
-  }
+  for (const auto& line : lines) verbs().check(line);
+  policy::Demand demand;
+  for (const auto& line : lines) verbs().run(demand, line);
 }
 
 }  // namespace runner
