--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -14,7 +14,7 @@
 #include "rooksill/agent/image_cache.h"
 #include "rooksill/model/identifiers.h"
 #include "rooksill/model/job.h"
-#include "rooksill/placement/room.h"
+#include "rooksill/placement/machine_capacity.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/wire/controller_messages.h"
 #include "rooksill/wire/worker_codec.h"
@@ -108,8 +108,8 @@
   std::set<model::TaskRef> pending_placements;     // decided and not yet in the store
   double next_command_at = 0;                      // no direct command before
 
-  placement::Room room;
-  bool room_stale = true;  // `room` has to be worked out anew
+  placement::MachineCapacity capacity;
+  bool capacity_stale = true;  // `capacity` has to be computed anew
 
   bool changed = false;           // in the table's list of workers that changed
   bool answered_in_full = false;  // its last answer carried every command there was
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -47,7 +47,7 @@
 }
 
 void WorkerTable::mark_changed(Worker& worker) {
-  worker.room_stale = worker.status_changed = true;
+  worker.capacity_stale = worker.status_changed = true;
   worker.answered_in_full = false;
   if (!worker.changed) defer(worker);
 }
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -40,8 +40,8 @@
   size_t size() const { return workers_.size(); }
   bool empty() const { return workers_.empty(); }
 
-  // Something that concerns the worker changed: its room and status are worked out anew, and it is
-  // compared with the store at the end of this pass.
+  // Something that concerns the worker changed: its capacity and status are computed anew, and it
+  // is compared with the store at the end of this pass.
   void mark_changed(Worker& worker);
   // Keeps the worker for the next pass, without anything new about it.
   void defer(Worker& worker);
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -8,6 +8,7 @@
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
 #include "rooksill/model/value_sizes.h"
+#include "rooksill/placement/machine_capacity.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/routing/fallback_routing.h"
 #include "rooksill/runtime/socket_budget.h"
@@ -39,7 +40,9 @@
                           accept_heartbeat(worker, heartbeat);
                         }),
       changes_(ctx, replica, client, committer, owned_, *this),
-      transfers_(ctx, replica, committer) {}
+      transfers_(ctx, replica, committer),
+      quota_usage_(ctx.settings, replica, transfers_),
+      capacities_(replica, evicted_, quota_usage_) {}
 
 bool PartitionOwner::backing_off(const std::string& job) const {
   auto it = troubles_.find(job);
@@ -63,7 +66,8 @@
 }
 
 void PartitionOwner::drop_workers(int partition) {
-  workers_.remove_partition(partition, [this](agent::Worker& worker) { forget_room(worker); });
+  workers_.remove_partition(partition,
+                            [this](agent::Worker& worker) { capacities_.forget(worker); });
 }
 
 void PartitionOwner::tick() {
@@ -91,7 +95,7 @@
       if (machine != nullptr) {
         workers_.mark_changed(*worker);
       } else {
-        forget_room(*worker);
+        capacities_.forget(*worker);
         workers_.remove(name);
       }
     } else if (machine == nullptr) {
@@ -104,9 +108,9 @@
 
 void PartitionOwner::check_timeouts() {
   failure_detector_.check();
-  std::erase_if(evicted_, [&](const auto& e) {
-    const model::TaskState* t = replica_.task(e.first);
-    return t == nullptr || t->machine.empty() || t->attempt != e.second;
+  evicted_.forget_if([&](const model::TaskRef& ref, uint64_t attempt) {
+    const model::TaskState* task = replica_.task(ref);
+    return task == nullptr || task->machine.empty() || task->attempt != attempt;
   });
   if (!routed_.empty()) placement_requested_ = true;
 }
@@ -258,8 +262,7 @@
                                    job.spec.save_s};
   if (job.over()) return at_once;
   if (t.phase == wire::TaskPhase::kSaving) return std::nullopt;
-  auto e = evicted_.find(t.task);
-  if (e != evicted_.end() && e->second == t.attempt) return saving;
+  if (evicted_.contains(t.task, t.attempt)) return saving;
   const bool gang = job.spec.shape == model::Shape::kGang;
   // Without one of them the others cannot go on; where they waited for one another they would wait
   // in vain. The next attempt needs all of them gone.
@@ -353,7 +356,7 @@
 void PartitionOwner::on_change_added(const model::TaskRef& task, const TaskChange& change) {
   agent::Worker* worker = workers_.find(change.machine.name);
   if (worker == nullptr) return;
-  worker->room_stale = worker->status_changed = true;
+  worker->capacity_stale = worker->status_changed = true;
   if (change.kind == TaskChange::Kind::kPlaced) worker->pending_placements.insert(task);
 }
 
@@ -370,6 +373,41 @@
   return worker != nullptr && worker->terminates_at.has_value();
 }
 
+// ---- gangs ----
+
+// Whether a task of the attempt that the state has is gone, or known here to be.
+bool PartitionOwner::gang_broken(const model::Job& job) const {
+  for (uint32_t c = 0; c < job.shards.size(); ++c) {
+    const model::TaskShard& shard = job.shards[c];
+    const changes::ShardChanges* pending = changes_.find_shard({job.spec.id, c});
+    for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+      const model::TaskState& t = shard.tasks[i];
+      if (t.done) continue;
+      if (t.machine.empty()) return true;
+      if (replica_.machine_gone(t.machine) && replica_.lists_cover(shard)) return true;
+      if (pending == nullptr) continue;
+      const TaskChange* change = pending->find(i);
+      if (change != nullptr && change->kind == TaskChange::Kind::kLost) return true;
+    }
+  }
+  return false;
+}
+
+// Tells all of a gang's tasks on the machines held here to stop and save, at once: those that are
+// told later than `gang_peer_s` after the first save nothing.
+void PartitionOwner::stop_gang(const model::Job& job) {
+  for (const auto& shard : job.shards)
+    for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
+      const model::TaskState& t = shard.tasks[i];
+      agent::Worker* w = workers_.find(t.machine);
+      if (t.machine.empty() || w == nullptr) continue;
+      const uint32_t first =
+          static_cast<uint32_t>(&shard - job.shards.data()) * job.tasks_per_shard;
+      if (!evicted_.evict({job.spec.id, first + i}, t.attempt)) continue;
+      workers_.mark_changed(*w);
+    }
+}
+
 // ---- commands ------------------------------------------------------------------------------
 
 void PartitionOwner::push() {
@@ -478,7 +516,7 @@
     if (t == nullptr || t->attempt != m.attempt) continue;
     agent::Worker* w = workers_.find(t->machine);
     if (w == nullptr) continue;
-    evicted_[ref] = m.attempt;
+    evicted_.evict(ref, m.attempt);
     workers_.mark_changed(*w);
   }
   placement_requested_ = true;
@@ -487,29 +525,19 @@
 // Called once all machines of the partitions held are known here: what a share's owner uses has to
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
-  shares_.clear();
+  quota_usage_.refresh_shares();
   transfers_.tick(
       [this](int partition, model::Revision lease) { return owned_.owns_under(partition, lease); });
   for (const auto& t : std::exchange(asked_transfers_, {})) {
     if (!owns(t.from)) continue;
-    for (auto& [name, w] : workers_) room_of(w);
+    for (auto& [name, w] : workers_) capacities_.capacity(w);
     const model::QuotaShare share = quota::quota_share(ctx_.settings, replica_, t.team, t.from);
-    const auto& used = quota_use_[{t.from, t.team}];
-    transfers_.start(t, {share.cpus - used.first, share.gpus - used.second});
+    transfers_.start(t, quota_usage_.unused(share, t.team, t.from));
   }
 }
 
-std::vector<wire::QuotaUse> PartitionOwner::quota_use() {
-  std::vector<wire::QuotaUse> out;
-  for (const auto& [at, used] : quota_use_) {
-    const auto& [partition, team] = at;
-    auto limits = ctx_.settings.platform.teams.find(team);
-    if (!owns(partition) || limits == ctx_.settings.platform.teams.end()) continue;
-    if (limits->second.cpus_max <= 0 && limits->second.gpus_max <= 0) continue;
-    const model::QuotaShare leaving = transfers_.leaving(team, partition);
-    out.push_back({partition, team, used.first + leaving.cpus, used.second + leaving.gpus});
-  }
-  return out;
+std::vector<wire::QuotaUse> PartitionOwner::quota_use() const {
+  return quota_usage_.report([this](int partition) { return owns(partition); });
 }
 
 void PartitionOwner::route_without_leader() {
@@ -535,15 +563,15 @@
   std::array<size_t, 5> phases{};
   double cpus = 0, free = 0;
   for (auto& [name, w] : workers_) {
-    const placement::Room& room = room_of(w);
+    const placement::MachineCapacity& capacity = capacities_.capacity(w);
     reported += w.reported ? 1 : 0;
     sending += w.tokens.in_flight != model::kNoFencingToken ? 1 : 0;
     placed += replica_.placed_on(name).size();
     for (const auto& t : w.tasks) ++phases[static_cast<size_t>(t.phase)];
     if (!open(w)) continue;
     ++taking;
-    cpus += room.type->capacity.cpus;
-    free += room.cpus;
+    cpus += capacity.type->capacity.cpus;
+    free += capacity.free.cpus;
   }
   return fmt::format(
       "machines: {}, {} heard, {} taking tasks with {:.0f} of {:.0f} cores free, {} sent commands; "
@@ -554,7 +582,7 @@
 }
 
 wire::MachineStatus PartitionOwner::status_of(agent::Worker& w) {
-  const placement::Room& room = room_of(w);
+  const placement::MachineCapacity& capacity = capacities_.capacity(w);
   wire::MachineStatus v;
   v.name = w.name;
   v.up = w.reported;
@@ -562,17 +590,17 @@
   v.silent = w.silent;
   v.bad = w.failures.faulty;
   v.termination_notice = w.terminates_at.has_value();
-  v.cpus_free = open(w) ? room.cpus : 0;
+  v.cpus_free = open(w) ? capacity.free.cpus : 0;
   if (open(w))
-    std::copy(room.cpus_by_priority.begin(), room.cpus_by_priority.end(),
+    std::copy(capacity.cpus_by_priority.begin(), capacity.cpus_by_priority.end(),
               v.cpus_by_priority.begin());
-  v.gpus_free = room.gpus;
-  v.memory_free = room.memory;
-  v.tasks = room.tasks;
-  if (room.type != nullptr && room.type->capacity.cpus > 0) {
-    v.load = std::max(
-        1 - room.cpus / room.type->capacity.cpus,
-        room.type->capacity.memory_gb > 0 ? 1 - room.memory / room.type->capacity.memory_gb : 0);
+  v.gpus_free = capacity.free.gpus;
+  v.memory_free = capacity.free.memory_gb;
+  v.tasks = capacity.tasks;
+  if (capacity.type != nullptr && capacity.type->capacity.cpus > 0) {
+    const model::Resources& whole = capacity.type->capacity;
+    v.load = std::max(1 - capacity.free.cpus / whole.cpus,
+                      whole.memory_gb > 0 ? 1 - capacity.free.memory_gb / whole.memory_gb : 0);
   }
   for (const auto& entry : w.images.entries()) v.images.push_back(replica_.image_name(entry.image));
   return v;
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -25,8 +25,12 @@
 #include "rooksill/model/identifiers.h"
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
-#include "rooksill/placement/gang_plan.h"
-#include "rooksill/placement/room.h"
+#include "rooksill/partition/capacity_tracker.h"
+#include "rooksill/partition/quota_usage.h"
+#include "rooksill/placement/evicted_tasks.h"
+#include "rooksill/placement/machine_capacity.h"
+#include "rooksill/placement/preemption.h"
+#include "rooksill/placement/work_order.h"
 #include "rooksill/quota/quota_transfers.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/committer.h"
@@ -65,7 +69,7 @@
   std::vector<wire::MachineStatus> take_statuses(bool all);
   std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
   // Of teams with a limit, in the partitions held.
-  std::vector<wire::QuotaUse> quota_use();
+  std::vector<wire::QuotaUse> quota_use() const;
   size_t queued() const { return changes_.size(); }
   std::string summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_.owns(partition); }
@@ -79,21 +83,12 @@
   std::optional<wire::UnassignedMachine> take_unassigned_machine();
 
  private:
+  friend class PlacementPass;
   struct JobTrouble {
     std::set<std::string> machines;
     int failures = 0;
     double retry_at = 0;
   };
-  struct Candidate {
-    const model::Job* job;
-    uint32_t shard;
-    double due;
-  };
-  // What a pass of placement found no room for: nothing larger needs to be looked for.
-  struct Unmet {
-    double cpus = 0, gpus = 0, memory = 0;
-  };
-
   void activate(int partition);
   void drop_workers(int partition);
   void accept_heartbeat(agent::Worker& w, const wire::WorkerHeartbeat& r);
@@ -119,34 +114,13 @@
   void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
   wire::MachineStatus status_of(agent::Worker& w);
-  const placement::Room& room_of(agent::Worker& w);
-  void work_out_room(agent::Worker& w);
-  void forget_room(agent::Worker& w);
   bool open(const agent::Worker& w) const;
   std::vector<agent::Worker*> open_workers();
-  bool allowed(const model::JobSpec& s, const agent::Worker& w) const;
-  static bool fits(const model::JobSpec& s, double cpus, double gpus, double memory);
-  uint32_t slots(const model::JobSpec& s, const agent::Worker& w);
-  double score(const model::Job& job, const agent::Worker& w) const;
-  const model::QuotaShare& team_quota(const std::string& team, int partition);
-  bool within_quota(const model::JobSpec& s, int partition);
   bool exceeds_quota(const std::string& team, agent::Worker& w);
-  void place_shard(const Candidate& c, const std::vector<agent::Worker*>& workers);
-  uint32_t make_room(const model::Job& job, uint32_t count,
-                     const std::vector<agent::Worker*>& workers,
-                     const std::map<std::string, uint32_t>& zones, const std::string& only_zone,
-                     bool only_cached);
-  // Gang jobs (placement/gang_placer.cc).
+  std::vector<placement::WaitingShard> waiting_shards();
+  // Gang jobs.
   bool gang_broken(const model::Job& job) const;
   void stop_gang(const model::Job& job);
-  std::optional<uint64_t> next_gang_attempt(const model::Job& job) const;
-  std::vector<placement::GangOption> gang_options(const model::Job& job,
-                                                  const std::vector<agent::Worker*>& workers);
-  std::map<int, double> gang_tasks_left(const model::JobSpec& s);
-  void place_gang(const Candidate& c, const std::vector<agent::Worker*>& workers);
-  void make_room_for_gang(const model::Job& job, const std::vector<agent::Worker*>& workers);
-  double reserve(const model::JobSpec& s, const placement::Room& r) const;
-  double due_time(const model::Job& job) const;
 
   runtime::Context& ctx_;
   store::Replica& replica_;
@@ -159,22 +133,14 @@
   std::set<model::ShardId> routed_;
   uint64_t routed_term_ = 0;
   std::unordered_map<std::string, JobTrouble> troubles_;
-  std::map<model::TaskRef, uint64_t> evicted_;  // attempt being stopped to make room or to drain
-  std::map<std::pair<int, std::string>, std::pair<double, double>> quota_use_;
-  std::map<std::pair<int, std::string>, model::QuotaShare>
-      shares_;  // worked out anew with each pass
+  placement::EvictedTasks evicted_;
   quota::QuotaTransfers transfers_;
+  QuotaUsage quota_usage_;
+  CapacityTracker capacities_;
+  placement::EvictionBudget eviction_budget_;
   std::vector<wire::QuotaTransfer> asked_transfers_;
   std::optional<wire::UnassignedMachine> unassigned_machine_;
-  std::map<int, Unmet> unmet_;
-  std::unordered_map<const agent::Worker*, Unmet>
-      promised_;  // of what is being made free, in a pass
-  std::unordered_map<const agent::Worker*, Unmet>
-      set_aside_;  // of what is free, for gangs, in a pass
-  double cheapest_ = 1;
-  int evictions_ = 0;
-  double stops_left_ = 0, stops_at_ = 0;  // that arrays may make room with, and when that was
-  int sends_ = 0;                         // commands under way
+  int sends_ = 0;  // commands under way
   double next_place_ = 0;
   double next_fallback_ = 0;
   bool placement_requested_ = false;
--- a/src/rooksill/placement/gang_plan.cc
+++ b/src/rooksill/placement/gang_plan.cc
@@ -1,8 +1,10 @@
 #include "rooksill/placement/gang_plan.h"
 
 #include <algorithm>
+#include <cmath>
+#include <cstddef>
 #include <iterator>
-#include <numeric>
+#include <map>
 #include <set>
 #include <tuple>
 #include <utility>
@@ -11,63 +13,76 @@
 
 namespace {
 
-struct Plan {
-  std::vector<GangPlace> places;
-  double start_s = 0, score = 0;
+struct GangPlan {
+  std::vector<Assignment> assignments;  // empty: the options do not hold all tasks
+  double start_s = 0;                   // of its last task
+  double score = 0;                     // over all tasks
 };
 
-// Fills the options in the order given; nothing if they do not hold all tasks.
-Plan fill(const std::vector<GangOption>& options, const std::vector<size_t>& command,
-          const GangDemand& demand) {
-  Plan plan;
-  uint32_t missing = demand.tasks;
-  std::map<int, double> tasks_left = demand.tasks_left;
-  std::map<std::string, uint32_t> in_zone;
-  for (size_t i : command) {
-    if (missing == 0) break;
-    const GangOption& option = options[i];
-    double& left = tasks_left[option.partition];
-    uint32_t& there = in_zone[option.zone];
-    const uint32_t zone_left = demand.most_in_zone - std::min(there, demand.most_in_zone);
-    const double most =
-        std::min<double>({double(option.slots), double(missing), double(zone_left), left});
-    if (most < 1) continue;
-    const auto here = static_cast<uint32_t>(most);
-    plan.places.push_back({i, here});
-    plan.start_s = std::max(plan.start_s, option.start_s);
-    plan.score += option.score * here;
-    left -= here;
-    there += here;
-    missing -= here;
+GangPlan fill(const std::vector<MachineOption>& options, Demand demand) {
+  GangPlan plan;
+  plan.assignments = assign_in_order(options, demand);
+  if (demand.tasks > 0) return {};
+  auto option = options.begin();
+  for (const Assignment& assignment : plan.assignments) {
+    // Assignments come in the order of the options.
+    while (option->machine != assignment.machine) ++option;
+    plan.start_s = std::max(plan.start_s, option->start_s);
+    plan.score += option->score * assignment.tasks;
   }
-  if (missing > 0) plan.places.clear();
   return plan;
 }
 
+// CPUs that the gang could have on the machine with all lower work gone.
+double reachable_cpus(const model::JobSpec& spec, const MachineCapacity& machine,
+                      const Feasibility& feasibility) {
+  double cpus = feasibility.free_after_vacating(spec, machine).cpus;
+  for (size_t lower = 0; lower < static_cast<size_t>(spec.priority); ++lower)
+    cpus += machine.cpus_by_priority[lower];
+  return cpus;
+}
+
 }  // namespace
 
-std::vector<GangPlace> plan_gang(const std::vector<GangOption>& options, const GangDemand& demand) {
-  std::vector<size_t> sorted(options.size());
-  std::iota(sorted.begin(), sorted.end(), size_t{0});
-  std::stable_sort(sorted.begin(), sorted.end(), [&](size_t a, size_t b) {
-    return std::tie(options[a].start_s, options[a].score) <
-           std::tie(options[b].start_s, options[b].score);
-  });
-  if (!demand.one_zone) return fill(options, sorted, demand).places;
+std::vector<Assignment> plan_gang(std::vector<MachineOption> options, const Demand& demand,
+                                  bool one_zone) {
+  std::stable_sort(options.begin(), options.end(),
+                   [](const MachineOption& a, const MachineOption& b) {
+                     return std::tie(a.start_s, a.score) < std::tie(b.start_s, b.score);
+                   });
+  if (!one_zone) return fill(options, demand).assignments;
   std::set<std::string> zones;
-  for (const auto& option : options) zones.insert(option.zone);
-  Plan best;
+  for (const auto& option : options) zones.insert(option.capacity->zone);
+  GangPlan best;
   for (const auto& zone : zones) {
-    std::vector<size_t> there;
-    std::copy_if(sorted.begin(), sorted.end(), std::back_inserter(there),
-                 [&](size_t i) { return options[i].zone == zone; });
-    Plan plan = fill(options, there, demand);
-    if (plan.places.empty()) continue;
-    if (best.places.empty() ||
+    std::vector<MachineOption> there;
+    std::copy_if(options.begin(), options.end(), std::back_inserter(there),
+                 [&](const MachineOption& option) { return option.capacity->zone == zone; });
+    GangPlan plan = fill(there, demand);
+    if (plan.assignments.empty()) continue;
+    if (best.assignments.empty() ||
         std::tie(plan.start_s, plan.score) < std::tie(best.start_s, best.score))
       best = std::move(plan);
   }
-  return best.places;
+  return best.assignments;
+}
+
+std::optional<GangRoom> most_gang_room(const model::JobSpec& spec,
+                                       const std::vector<const MachineCapacity*>& machines,
+                                       const Feasibility& feasibility) {
+  if (spec.request.cpus <= 0) return std::nullopt;
+  std::map<std::string, double> tasks_by_zone;
+  for (const MachineCapacity* machine : machines) {
+    if (!Feasibility::allows(spec, *machine)) continue;
+    const double cpus = reachable_cpus(spec, *machine, feasibility);
+    const double tasks = std::floor((cpus + model::Resources::kRoundingError) / spec.request.cpus);
+    tasks_by_zone[spec.one_zone ? machine->zone : ""] += std::max(0.0, tasks);
+  }
+  const auto best =
+      std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
+                       [](const auto& a, const auto& b) { return a.second < b.second; });
+  if (best == tasks_by_zone.end()) return std::nullopt;
+  return GangRoom{best->first, best->second};
 }
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/gang_plan.h
+++ b/src/rooksill/placement/gang_plan.h
@@ -1,39 +1,33 @@
 // Where the tasks of a gang go: all of them at once, or none.
 #pragma once
 
-#include <cstddef>
-#include <cstdint>
-#include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
-namespace rooksill::placement {
+#include "rooksill/model/job.h"
+#include "rooksill/placement/feasibility.h"
+#include "rooksill/placement/machine_capacity.h"
+#include "rooksill/placement/task_plan.h"
 
-// A machine that takes tasks of the gang.
-struct GangOption {
-  std::string zone;
-  int partition = 0;
-  uint32_t slots = 0;
-  double start_s = 0;  // until its image is there
-  double score = 0;    // the smaller, the better a place
-};
+namespace rooksill::placement {
 
-// So many tasks on the machine of that option.
-struct GangPlace {
-  size_t option = 0;
-  uint32_t tasks = 0;
-};
+// Places for all tasks of the demand, or none. A gang starts when the last of its tasks can: of
+// several zones that could hold one that has to be in one zone, the one where that is soonest is
+// taken.
+std::vector<Assignment> plan_gang(std::vector<MachineOption> options, const Demand& demand,
+                                  bool one_zone);
 
-// What is to be placed, and how.
-struct GangDemand {
-  uint32_t tasks = 0;
-  bool one_zone = false;             // all of them in one zone
-  uint32_t most_in_zone = 0;         // of its tasks that one zone may have
-  std::map<int, double> tasks_left;  // by partition: how many more the team's share allows
+// How many tasks of a gang would fit if all work of lower priority were evicted.
+struct GangRoom {
+  std::string zone;  // empty: over all zones
+  double tasks = 0;
 };
 
-// Places for all tasks, or none. A gang starts when the last of its tasks can: of several zones
-// that could hold one that has to be in one zone, the one where that is soonest is taken.
-std::vector<GangPlace> plan_gang(const std::vector<GangOption>& options, const GangDemand& demand);
+// Over all zones, or in the zone with the most for a gang that has to be in one. Nothing if no
+// machine is allowed.
+std::optional<GangRoom> most_gang_room(const model::JobSpec& spec,
+                                       const std::vector<const MachineCapacity*>& machines,
+                                       const Feasibility& feasibility);
 
 }  // namespace rooksill::placement
