--- /dev/null
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -0,0 +1,82 @@
+// Rentals for tasks that wait (the paper's unplanned rentals).
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "rooksill/fleet/capacity_limits.h"
+#include "rooksill/fleet/free_space.h"
+#include "rooksill/fleet/job_demand.h"
+#include "rooksill/fleet/machine_lists.h"
+#include "rooksill/fleet/machine_returns.h"
+#include "rooksill/fleet/offer.h"
+#include "rooksill/fleet/rentals.h"
+#include "rooksill/model/machine.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
+
+namespace rooksill::fleet {
+
+// Requests what the waiting tasks need beyond the free space that there is, is booting or is
+// requested already (docs/design.md, step 6).
+class OnDemandRentals {
+ public:
+  OnDemandRentals(runtime::Context& context, const store::Replica& replica,
+                  const MachineLists& lists, MachineReturns& returns,
+                  const CapacityLimits& capacity, Rentals& rentals)
+      : context_(context),
+        replica_(replica),
+        lists_(lists),
+        returns_(returns),
+        capacity_(capacity),
+        rentals_(rentals) {}
+
+  // `waiting`: the most important job first.
+  void rent_for(const std::vector<WaitingTasks>& waiting, const wire::MachineStatusMap& statuses);
+
+ private:
+  struct PlannedRental {
+    int count = 0;
+    int partition = kAnyPartition;
+  };
+  // What is being decided in one round.
+  struct Plan {
+    std::vector<FreeSpace> spaces;  // planned machines included
+    std::map<Offer, PlannedRental> rentals;
+    // Tasks without a space, over all jobs: a machine is chosen to hold these, not one job alone.
+    double unassigned_ordinary = 0;  // of jobs for ordinary machines only
+    double unassigned_spot = 0;      // of jobs that may use spot machines
+    double& unassigned(const model::JobSpec& spec) {
+      return spec.spot ? unassigned_spot : unassigned_ordinary;
+    }
+    int planned(const Offer& offer) const;
+  };
+  struct Choice {
+    Offer offer;
+    const model::MachineType* type = nullptr;
+  };
+
+  std::vector<FreeSpace> find_spaces(const wire::MachineStatusMap& statuses) const;
+  std::optional<FreeSpace> space_on(const model::Machine& machine,
+                                    const wire::MachineStatusMap& statuses) const;
+  JobDemand make_demand(const WaitingTasks& waiting, const Plan& plan) const;
+  void plan_job(const WaitingTasks& waiting, const wire::MachineStatusMap& statuses, Plan& plan);
+  void use_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses, Plan& plan);
+  std::optional<FreeSpace> space_on_draining(const std::string& name, const model::JobSpec& spec,
+                                             const wire::MachineStatusMap& statuses) const;
+  void plan_rentals(JobDemand& demand, Plan& plan) const;
+  std::optional<Choice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
+  void request(const Plan& plan);
+
+  runtime::Context& context_;
+  const store::Replica& replica_;
+  const MachineLists& lists_;
+  MachineReturns& returns_;
+  const CapacityLimits& capacity_;
+  Rentals& rentals_;
+};
+
+}  // namespace rooksill::fleet
--- a/src/rooksill/fleet/silent_machines.h
+++ b/src/rooksill/fleet/silent_machines.h
@@ -2,11 +2,12 @@
 #pragma once
 
 #include <array>
+#include <compare>
 #include <map>
 #include <set>
 #include <string>
-#include <utility>
 
+#include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
 #include "rooksill/runtime/context.h"
 #include "rooksill/store/replica.h"
@@ -14,47 +15,67 @@
 
 namespace rooksill::fleet {
 
-// Zones whose machines do not answer: the owner of a partition, or most owners.
+// A partition's machines in one zone.
+struct PartitionZone {
+  int partition = 0;
+  std::string zone;
+  auto operator<=>(const PartitionZone&) const = default;
+};
+
+// Zones whose machines do not answer.
 struct UnreachableZones {
-  std::set<std::pair<int, std::string>> to_owner;
-  std::set<std::string> to_most;
+  std::set<PartitionZone> to_owner;  // those of a partition do not answer its owner
+  std::set<std::string> to_most;     // they do not answer most owners
 };
 
-// The leader's judgement on silent machines. A single one is released at once; of many with
-// replicas a part at a time; those of a zone that is cut off are kept at least for their leases.
+// Decides which silent machines are released, and when. A single one is released at once; of many
+// with replicas a part at a time; those of a zone that is cut off are kept at least until their
+// leases are over, as work goes on there till then.
 class SilentMachines {
  public:
-  SilentMachines(runtime::Context& ctx, const store::Replica& replica)
-      : ctx_(ctx), replica_(replica) {}
+  SilentMachines(runtime::Context& context, const store::Replica& replica)
+      : context_(context), replica_(replica) {}
 
   void start_term() { cut_off_until_.clear(); }
-  // Takes in what owners say now. Before the questions below, with each tick.
-  void observe(const wire::MachineStatusMap& statuses, const UnreachableZones& unreachable);
+
+  // Takes in what the owners report now. Called with each tick, before the questions below.
+  void update(const wire::MachineStatusMap& statuses, const UnreachableZones& unreachable);
+
   // Whether nothing is to be rented in the zone.
-  bool cut_off(const std::string& zone) const;
-  // Whether a silent machine may be released now. A yes uses up what it was given for: room
-  // elsewhere for its tasks, or its turn among machines with replicas.
-  bool may_release(const model::Machine& machine);
+  bool is_cut_off(const std::string& zone) const;
+
+  // Whether the silent machine may be released now. True claims what the release takes: space
+  // elsewhere for its tasks, or a place in the present batch of machines with replicas. The next
+  // machine finds only what is left of these.
+  [[nodiscard]] bool claim_release(const model::Machine& machine);
 
  private:
-  void judge_zones(const wire::MachineStatusMap& statuses,
-                   const std::set<std::string>& unreachable);
-  void sum_room(const wire::MachineStatusMap& statuses);
-  bool lease_over_and_may_leave(const model::Machine& machine, double silent_for);
-  bool take_room_elsewhere(const store::MachineLoad& load);
+  struct ZoneCount {
+    int silent = 0;  // or late with their boot
+    int all = 0;
+  };
+
+  std::map<std::string, ZoneCount> count_by_zone(const wire::MachineStatusMap& statuses) const;
+  void update_cut_off_zones(const wire::MachineStatusMap& statuses,
+                            const std::set<std::string>& unreachable_to_most);
+  void update_space(const wire::MachineStatusMap& statuses);
+  bool claim_release_in_cut_off_zone(const model::Machine& machine, double silent_s);
+  bool claim_space_for(const store::MachineLoad& load);
   bool replica_fits_elsewhere(const model::Machine& machine) const;
-  bool take_turn(double silent_for);
+  bool fits_other_zone(const model::Job& job, const std::string& zone) const;
+  bool claim_place_in_batch(double silent_s);
 
-  runtime::Context& ctx_;
+  runtime::Context& context_;
   const store::Replica& replica_;
-  std::map<std::string, double> cut_off_until_;                 // by zone
-  std::map<std::string, double> silent_since_;                  // by machine
-  std::set<std::pair<int, std::string>> unreachable_to_owner_;  // partition and zone
-  // On machines that are heard: cores that are free, and in use by priority.
-  double room_elsewhere_ = 0, next_room_ = 0;
-  std::array<double, 4> lower_elsewhere_{};
-  double next_turn_ = 0;  // of machines with replicas
-  int turn_left_ = 0;     // how many more may be released before that
+  std::set<PartitionZone> unreachable_to_owner_;
+  std::map<std::string, double> cut_off_until_;  // by zone, steady clock
+  std::map<std::string, double> silent_since_;   // by machine, steady clock
+  // On machines that are heard: CPUs that are free, and in use by the tasks' priority.
+  double free_cpus_ = 0;
+  std::array<double, model::kPriorities> used_cpus_{};
+  double next_space_update_ = 0;  // steady clock
+  double next_batch_ = 0;         // steady clock
+  int left_in_batch_ = 0;         // machines with replicas that may still be released
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -31,7 +31,7 @@
   job_finisher_.finish_jobs();
   router_.refresh(statuses);
   // What waits changes slowly beside the tick: it is summed up only when the fleet asks for it.
-  std::vector<fleet::Waiting> waiting;
+  std::vector<fleet::WaitingTasks> waiting;
   if (fleet_.wants_waiting()) waiting = waiting_work_.collect();
   fleet_.tick(statuses, waiting, assigner_.suspect_partitions(), assigner_.unreachable_zones());
   router_.route_next_jobs();
--- a/src/rooksill/policy/demand.cc
+++ b/src/rooksill/policy/demand.cc
@@ -5,27 +5,32 @@
 namespace rooksill::policy {
 
 namespace {
-constexpr double kWeight = 0.3;  // of the newest period in the running means
+constexpr double kNewestWeight = 0.3;  // of the newest period in the running means
 constexpr double kLowestMu = 1e-3;
+constexpr double kHighestMu = 50;
+// Busy machines below which μ stays what it was: at first the design's 1.
+constexpr double kLeastBusyMachines = 0.1;
+
+void update_mean(double& mean, double newest) { mean += kNewestWeight * (newest - mean); }
 }  // namespace
 
 void Demand::end_period(double period_s, double cap) {
   double arrived = arrived_;
   if (periods_ > 0 && lambda_ > 0) arrived = std::min(arrived, cap * lambda_);
-  const double busy = period_s > 0 ? busy_ / period_s : 0;
+  const double busy_machines = period_s > 0 ? busy_machine_seconds_ / period_s : 0;
   if (periods_ == 0) {
     lambda_ = arrived;
-    finished_mean_ = finished_;
-    busy_mean_ = busy;
+    mean_finished_ = finished_;
+    mean_busy_machines_ = busy_machines;
   } else {
-    lambda_ += kWeight * (arrived - lambda_);
-    finished_mean_ += kWeight * (finished_ - finished_mean_);
-    busy_mean_ += kWeight * (busy - busy_mean_);
+    update_mean(lambda_, arrived);
+    update_mean(mean_finished_, finished_);
+    update_mean(mean_busy_machines_, busy_machines);
   }
-  // Until something has been measured, μ is the design's 1.
-  if (busy_mean_ > 0.1) mu_ = std::clamp(finished_mean_ / busy_mean_, kLowestMu, 50.0);
-  if (arrived_ > 0 || busy_ > 0) ++periods_;
-  arrived_ = finished_ = busy_ = 0;
+  if (mean_busy_machines_ > kLeastBusyMachines)
+    mu_ = std::clamp(mean_finished_ / mean_busy_machines_, kLowestMu, kHighestMu);
+  if (arrived_ > 0 || busy_machine_seconds_ > 0) ++periods_;
+  arrived_ = finished_ = busy_machine_seconds_ = 0;
 }
 
 }  // namespace rooksill::policy
--- a/src/rooksill/policy/demand.h
+++ b/src/rooksill/policy/demand.h
@@ -1,25 +1,42 @@
-// Measures λ and μ of a machine type and kind, in machines' worth of tasks.
+// The demand for one pool of machines: the paper's λ and μ.
 #pragma once
 
 namespace rooksill::policy {
 
-// Many tasks share a machine here, so a task counts as the share of a machine that it takes; with
-// one task to a machine this is the paper's count. Only first attempts count as arrivals and only
-// completions as finished, so that failing jobs inflate neither; a period's arrivals count for at
-// most `cap` times the running mean, so that a burst does not become the forecast.
+// Running means over periods, measured in machines' worth of tasks. In the paper a machine serves
+// one request; here many tasks share a machine, so a task counts as the share of a machine that it
+// takes. With one task to a machine this is the paper's count.
+//
+// Only first attempts count as arrivals and only completions as finished, so that failing jobs
+// inflate neither. A period's arrivals count for at most `cap` times the running mean, so that a
+// burst does not become the forecast.
 class Demand {
  public:
-  void arrived(double share) { arrived_ += share; }
-  void finished(double share) { finished_ += share; }
-  void busy(double machines, double seconds) { busy_ += machines * seconds; }
+  // A task was placed for the first time; `share`: the part of a machine that it takes.
+  void record_arrival(double share) { arrived_ += share; }
+  // A task has run to completion.
+  void record_completion(double share) { finished_ += share; }
+  // So many machines' worth of tasks ran for that long.
+  void record_busy(double machines, double seconds) { busy_machine_seconds_ += machines * seconds; }
+  // Takes what was recorded since the last call into the means.
   void end_period(double period_s, double cap);
-  double lambda() const { return lambda_; }  // per period
-  double mu() const { return mu_; }          // per busy machine and period
+
+  // λ: arrivals per period.
+  double lambda() const { return lambda_; }
+  // μ: completions per busy machine and period.
+  double mu() const { return mu_; }
 
  private:
-  double arrived_ = 0, finished_ = 0, busy_ = 0;
-  double lambda_ = 0, mu_ = 1, finished_mean_ = 0, busy_mean_ = 0;
-  int periods_ = 0;
+  // In the present period.
+  double arrived_ = 0;
+  double finished_ = 0;
+  double busy_machine_seconds_ = 0;
+  // Means over the periods before.
+  double lambda_ = 0;
+  double mu_ = 1;
+  double mean_finished_ = 0;
+  double mean_busy_machines_ = 0;
+  int periods_ = 0;  // in which there was any work
 };
 
 }  // namespace rooksill::policy
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -61,9 +61,9 @@
 }
 
 void period(policy::Demand& demand, const Line& line) {
-  demand.arrived(line.get("arrived", 0));
-  demand.finished(line.get("finished", 0));
-  demand.busy(line.get("busy", 0), 1);
+  demand.record_arrival(line.get("arrived", 0));
+  demand.record_completion(line.get("finished", 0));
+  demand.record_busy(line.get("busy", 0), 1);
   demand.end_period(1, line.get("cap", 3));
 }
 
