--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -10,7 +10,6 @@
 #include "rooksill/model/value_sizes.h"
 #include "rooksill/placement/machine_capacity.h"
 #include "rooksill/quota/quota_shares.h"
-#include "rooksill/routing/fallback_routing.h"
 #include "rooksill/runtime/socket_budget.h"
 
 namespace rooksill::partition {
@@ -40,6 +39,7 @@
                           accept_heartbeat(worker, heartbeat);
                         }),
       changes_(ctx, replica, client, committer, owned_, *this),
+      routed_(ctx, replica, owned_),
       transfers_(ctx, replica, committer),
       quota_usage_(ctx.settings, replica, transfers_),
       capacities_(replica, evicted_, quota_usage_) {}
@@ -500,28 +500,27 @@
             });
 }
 
-void PartitionOwner::routes(const wire::RoutingUpdate& r) {
-  if (r.term < routed_term_) return;
-  if (r.full) {
-    routed_.clear();
-    workers_.clear_draining();
-  }
-  workers_.drain(r.drain);
-  routed_term_ = r.term;
-  for (const auto& x : r.routes) routed_.insert({x.job, x.shard});
-  asked_transfers_.insert(asked_transfers_.end(), r.transfers.begin(), r.transfers.end());
-  for (const auto& m : r.moves) {
-    const model::TaskRef ref{m.job, m.index};
-    const model::TaskState* t = replica_.task(ref);
-    if (t == nullptr || t->attempt != m.attempt) continue;
-    agent::Worker* w = workers_.find(t->machine);
-    if (w == nullptr) continue;
-    evicted_.evict(ref, m.attempt);
-    workers_.mark_changed(*w);
-  }
+void PartitionOwner::routes(const wire::RoutingUpdate& update) {
+  if (!routed_.current(update)) return;
+  routed_.apply(update);
+  if (update.full) workers_.clear_draining();
+  workers_.drain(update.drain);
+  asked_transfers_.insert(asked_transfers_.end(), update.transfers.begin(), update.transfers.end());
+  for (const wire::TaskMove& move : update.moves) evict(move);
   placement_requested_ = true;
 }
 
+// Stops a task that is to run elsewhere, unless it left its machine in the meantime.
+void PartitionOwner::evict(const wire::TaskMove& move) {
+  const model::TaskRef task{move.job, move.index};
+  const model::TaskState* state = replica_.task(task);
+  if (state == nullptr || state->attempt != move.attempt) return;
+  agent::Worker* worker = workers_.find(state->machine);
+  if (worker == nullptr) return;
+  evicted_.evict(task, move.attempt);
+  workers_.mark_changed(*worker);
+}
+
 // Called once all machines of the partitions held are known here: what a share's owner uses has to
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
@@ -541,21 +540,7 @@
 }
 
 void PartitionOwner::route_without_leader() {
-  if (ctx_.now.steady < next_fallback_) return;
-  const double report = ctx_.settings.platform.report_s;
-  next_fallback_ = ctx_.now.steady + report / 6;
-  for (const auto& id : replica_.waiting_jobs) {
-    const model::Job& job = *replica_.job(id);
-    for (uint32_t c = 0; c < job.shards.size(); ++c) {
-      const model::TaskShard& shard = job.shards[c];
-      if (shard.done + shard.placed >= shard.tasks.size()) continue;
-      if (owns(routing::fallback_partition(ctx_.settings, replica_, job, c, ctx_.now.wall)))
-        routed_.insert({id, c});
-      else
-        routed_.erase({id, c});
-    }
-  }
-  if (!routed_.empty()) placement_requested_ = true;
+  if (routed_.route_without_leader() && !routed_.empty()) placement_requested_ = true;
 }
 
 std::string PartitionOwner::summary() {
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -27,6 +27,7 @@
 #include "rooksill/model/machine.h"
 #include "rooksill/partition/capacity_tracker.h"
 #include "rooksill/partition/quota_usage.h"
+#include "rooksill/partition/routed_shards.h"
 #include "rooksill/placement/evicted_tasks.h"
 #include "rooksill/placement/machine_capacity.h"
 #include "rooksill/placement/preemption.h"
@@ -47,10 +48,11 @@
 
   // A worker's report; answers it.
   void report(uint64_t request, const std::string& body);
-  void routes(const wire::RoutingUpdate& r);
-  void route_here(const model::ShardId& shard) { routed_.insert(shard); }
-  void
-  route_without_leader();  // while nobody routes: what waits, by a rule that all controllers share
+  // Takes in what the leader routes here, and what it wants moved, drained and transferred.
+  void routes(const wire::RoutingUpdate& update);
+  void route_here(const model::ShardId& shard) { routed_.add(shard); }
+  // While nobody leads: places what waits, by a rule that all controllers share.
+  void route_without_leader();
   void record_address(const std::string& machine, const std::string& address) {
     workers_.record_address(machine, address);
   }
@@ -111,6 +113,7 @@
   std::optional<wire::WorkerCommand> command_for(agent::Worker& w, const wire::ReportedTask& t,
                                                  const model::Job& job);
   bool entitled() const;
+  void evict(const wire::TaskMove& move);
   void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
   wire::MachineStatus status_of(agent::Worker& w);
@@ -130,8 +133,7 @@
   agent::WorkerTable workers_;
   agent::FailureDetector failure_detector_;
   changes::TaskChangeQueue changes_;
-  std::set<model::ShardId> routed_;
-  uint64_t routed_term_ = 0;
+  RoutedShards routed_;
   std::unordered_map<std::string, JobTrouble> troubles_;
   placement::EvictedTasks evicted_;
   quota::QuotaTransfers transfers_;
@@ -142,7 +144,6 @@
   std::optional<wire::UnassignedMachine> unassigned_machine_;
   int sends_ = 0;  // commands under way
   double next_place_ = 0;
-  double next_fallback_ = 0;
   bool placement_requested_ = false;
 };
 
