--- a/tests/runner/job_line.cc
+++ b/tests/runner/job_line.cc
@@ -12,14 +12,20 @@
 constexpr size_t kIdDigits = 6;
 constexpr char kBodyPrefix[] = "body.";
 
-// Shapes have their wire names in scenarios.
+constexpr char kDefaultShape[] = "array";
+
 Shape parse_shape(const Line& line) {
-  const std::string name = line.text("shape", "batch");
+  const std::string name = line.text("shape", kDefaultShape);
   if (name == "service") return Shape::kService;
-  if (name == "ensemble") return Shape::kGang;
+  if (name == "gang") return Shape::kGang;
   return Shape::kArray;  // also for unknown ones, which the controllers have to reject
 }
 
+std::string wire_shape(const Line& line) {
+  const std::string name = line.text("shape", kDefaultShape);
+  return name == "array" ? "batch" : name == "gang" ? "ensemble" : name;
+}
+
 Workload read_workload(const Line& line, const std::string& id) {
   Workload workload;
   workload.id = id;
@@ -41,8 +47,8 @@
   return json{{"id", workload.id},
               {"flock", job.job_class},
               {"owner", job.team},
-              {"shape", line.text("shape", "batch")},
-              {"rank", line.text("rank", "standard")},
+              {"shape", wire_shape(line)},
+              {"rank", line.text("priority", "standard")},
               {"pieces", workload.tasks},
               {"cores", workload.cpus},
               {"gpus", 0.0},
@@ -80,9 +86,9 @@
 
 const std::vector<std::string>& job_parameters() {
   static const std::vector<std::string> kParameters{
-      "class", "team",       "shape", "rank",  "tasks",    "cpus",     "memory",
-      "image", "image_gb",   "types", "zone",  "together", "spread",   "spot",
-      "run",   "checkpoint", "save",  "fails", "drop",     kBodyPrefix};
+      "class", "team",       "shape", "priority", "tasks",    "cpus",     "memory",
+      "image", "image_gb",   "types", "zone",     "one_zone", "spread",   "spot",
+      "run",   "checkpoint", "save",  "fails",    "drop",     kBodyPrefix};
   return kParameters;
 }
 
@@ -95,7 +101,7 @@
   if (line.has("types")) job.types = split(line.text("types", ""), ',');
   job.spot = line.get_flag("spot");
   job.spread = line.get_flag("spread");
-  job.one_zone = line.get_flag("together");
+  job.one_zone = line.get_flag("one_zone");
   job.body = make_body(line, job);
   change_body(line, job.body);
   return job;
--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -36,7 +36,7 @@
 
 Link cut_link(const Line& line) {
   const std::string link = line.text("from", "all");
-  if (link == "state") return Link::kStore;
+  if (link == "store") return Link::kStore;
   if (link == "cloud") return Link::kCloud;
   if (link == "workers") return Link::kWorkers;
   if (link == "peers") return Link::kPeers;
@@ -75,15 +75,15 @@
 
 void cancel(World& world, const Line& line) { world.users().cancel(job_id(line.integer_at(1))); }
 
-void cancel_now(World& world, const Line& line) {
+void cancel_running_jobs(World& world, const Line& line) {
   world.faults().cancel_running_jobs(count(line), line.get("hang", 0));
 }
 
-void cancel_at_end(World& world, const Line& line) {
+void cancel_on_completion(World& world, const Line& line) {
   world.faults().cancel_on_completion(line.get("chance", 0.5), duration(line));
 }
 
-void odd_requests(World& world, const Line& line) {
+void unexpected_requests(World& world, const Line& line) {
   world.faults().send_odd_requests(duration(line));
 }
 
@@ -102,19 +102,19 @@
   }
 }
 
-void roll(World& world, const Line& line) {
+void rolling_restart(World& world, const Line& line) {
   for_each_controller(world, line, [&world, down_s = duration(line)](size_t controller) {
     world.faults().crash(controller, down_s);
   });
 }
 
-void upgrade(World& world, const Line& line) {
+void rolling_upgrade(World& world, const Line& line) {
   for_each_controller(world, line, [&world, down_s = duration(line)](size_t controller) {
     world.faults().upgrade(controller, down_s);
   });
 }
 
-void upgrade_one(World& world, const Line& line) {
+void upgrade(World& world, const Line& line) {
   world.faults().upgrade(controller_at(world, line, 1), duration(line));
 }
 
@@ -128,78 +128,78 @@
 
 // ---- network -------------------------------------------------------------------------------
 
-void cut(World& world, const Line& line) {
+void disconnect(World& world, const Line& line) {
   world.faults().cut(controller_at(world, line, 1), cut_link(line), duration(line), cut_mode(line));
 }
 
-void machine_cut(World& world, const Line& line) {
+void disconnect_machines(World& world, const Line& line) {
   world.faults().cut_machines(count(line), duration(line), cut_mode(line), line.text("zone", ""));
 }
 
-void zone_cut(World& world, const Line& line) {
+void network_partition(World& world, const Line& line) {
   world.faults().partition_zone(line.text("zone", "a"), controller_at(world, line, 1),
                                 duration(line), cut_mode(line));
 }
 
-void machine_deaf(World& world, const Line& line) {
+void drop_machine_inbound(World& world, const Line& line) {
   world.faults().lose_machine_inbound(count(line), duration(line));
 }
 
-void machine_mute(World& world, const Line& line) {
+void drop_machine_outbound(World& world, const Line& line) {
   world.faults().lose_machine_outbound(count(line), duration(line), line.text("zone", ""));
 }
 
-void lose(World& world, const Line& line) {
+void drop_responses(World& world, const Line& line) {
   world.faults().lose_answers(chance(line), duration(line));
 }
 
-void late(World& world, const Line& line) {
+void delay_requests(World& world, const Line& line) {
   world.faults().delay_requests(chance(line), line.get("by", 3), duration(line));
 }
 
-void late_writes(World& world, const Line& line) {
+void delay_transactions(World& world, const Line& line) {
   world.faults().delay_transactions(chance(line), line.get("by", 6), duration(line));
 }
 
-void late_commands(World& world, const Line& line) {
+void delay_commands(World& world, const Line& line) {
   world.faults().delay_commands(chance(line), line.get("by", 6), duration(line));
 }
 
-void copies(World& world, const Line& line) {
+void duplicate_heartbeats(World& world, const Line& line) {
   world.faults().duplicate_heartbeats(chance(line), line.get("by", 20), duration(line));
 }
 
 // ---- store, cloud and machines -------------------------------------------------------------
 
-void state_outage(World& world, const Line& line) { world.faults().store_outage(duration(line)); }
+void store_outage(World& world, const Line& line) { world.faults().store_outage(duration(line)); }
 
-void state_slow(World& world, const Line& line) {
+void slow_store(World& world, const Line& line) {
   world.faults().slow_store(line.get("by", 0.8), duration(line));
 }
 
-void refuse(World& world, const Line& line) {
+void refuse_at_store(World& world, const Line& line) {
   world.faults().refuse_at_store(controller_at(world, line, 1), duration(line));
 }
 
-void lower_limits(World& world, const Line&) { world.faults().lower_store_limits(); }
+void lower_store_limits(World& world, const Line&) { world.faults().lower_store_limits(); }
 
 void cloud_outage(World& world, const Line& line) { world.faults().cloud_outage(duration(line)); }
 
 void never_boot(World& world, const Line& line) { world.faults().never_boot(count(line)); }
 
-void capacity(World& world, const Line& line) {
+void set_capacity(World& world, const Line& line) {
   world.faults().set_capacity(line.get_integer("to", 0));
 }
 
-void take(World& world, const Line& line) {
+void reclaim_spot(World& world, const Line& line) {
   world.faults().reclaim_spot(line.get("share", 0.5), line.get("notice", 0));
 }
 
-void machine_hang(World& world, const Line& line) {
+void hang_machines(World& world, const Line& line) {
   world.faults().hang_machines(count(line), duration(line));
 }
 
-void machine_fault(World& world, const Line& line) { world.faults().break_machines(count(line)); }
+void break_machines(World& world, const Line& line) { world.faults().break_machines(count(line)); }
 
 // ---- table ---------------------------------------------------------------------------------
 
@@ -216,35 +216,35 @@
       "action", {
                     {"submit", submit_parameters(), submit},
                     {"cancel", {}, cancel},
-                    {"cancel_now", {"count", "hang"}, cancel_now},
-                    {"cancel_at_end", {"chance", "for"}, cancel_at_end},
-                    {"odd_requests", {"for"}, odd_requests},
+                    {"cancel_running_jobs", {"count", "hang"}, cancel_running_jobs},
+                    {"cancel_on_completion", {"chance", "for"}, cancel_on_completion},
+                    {"unexpected_requests", {"for"}, unexpected_requests},
                     {"crash", {"for"}, crash},
-                    {"roll", {"every", "for"}, roll},
-                    {"upgrade", {"every", "for"}, upgrade},
-                    {"upgrade_one", {"for"}, upgrade_one},
+                    {"rolling_restart", {"every", "for"}, rolling_restart},
+                    {"rolling_upgrade", {"every", "for"}, rolling_upgrade},
+                    {"upgrade", {"for"}, upgrade},
                     {"downgrade", {"for"}, downgrade},
                     {"freeze", {"for"}, freeze},
-                    {"cut", {"from", "for", "mode"}, cut},
-                    {"machine_cut", {"count", "for", "mode", "zone"}, machine_cut},
-                    {"zone_cut", {"zone", "for", "mode"}, zone_cut},
-                    {"machine_deaf", {"count", "for"}, machine_deaf},
-                    {"machine_mute", {"count", "for", "zone"}, machine_mute},
-                    {"lose", {"chance", "for"}, lose},
-                    {"late", {"chance", "by", "for"}, late},
-                    {"late_writes", {"chance", "by", "for"}, late_writes},
-                    {"late_commands", {"chance", "by", "for"}, late_commands},
-                    {"copies", {"chance", "by", "for"}, copies},
-                    {"state_outage", {"for"}, state_outage},
-                    {"state_slow", {"by", "for"}, state_slow},
-                    {"refuse", {"for"}, refuse},
-                    {"lower_limits", {}, lower_limits},
+                    {"disconnect", {"from", "for", "mode"}, disconnect},
+                    {"disconnect_machines", {"count", "for", "mode", "zone"}, disconnect_machines},
+                    {"network_partition", {"zone", "for", "mode"}, network_partition},
+                    {"drop_machine_inbound", {"count", "for"}, drop_machine_inbound},
+                    {"drop_machine_outbound", {"count", "for", "zone"}, drop_machine_outbound},
+                    {"drop_responses", {"chance", "for"}, drop_responses},
+                    {"delay_requests", {"chance", "by", "for"}, delay_requests},
+                    {"delay_transactions", {"chance", "by", "for"}, delay_transactions},
+                    {"delay_commands", {"chance", "by", "for"}, delay_commands},
+                    {"duplicate_heartbeats", {"chance", "by", "for"}, duplicate_heartbeats},
+                    {"store_outage", {"for"}, store_outage},
+                    {"slow_store", {"by", "for"}, slow_store},
+                    {"refuse_at_store", {"for"}, refuse_at_store},
+                    {"lower_store_limits", {}, lower_store_limits},
                     {"cloud_outage", {"for"}, cloud_outage},
                     {"never_boot", {"count"}, never_boot},
-                    {"capacity", {"to"}, capacity},
-                    {"take", {"share", "notice"}, take},
-                    {"machine_hang", {"count", "for"}, machine_hang},
-                    {"machine_fault", {"count"}, machine_fault},
+                    {"set_capacity", {"to"}, set_capacity},
+                    {"reclaim_spot", {"share", "notice"}, reclaim_spot},
+                    {"hang_machines", {"count", "for"}, hang_machines},
+                    {"break_machines", {"count"}, break_machines},
                     {"expect", {}, expect},
                 });
   return kActions;
--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -43,12 +43,12 @@
   return !job.is_over() && job.submission != Submission::kRejected;
 }
 
-void over(const World& world, const Line& line) {
+void jobs_finished(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs())
     if (is_open(job) && job.submission != Submission::kGivenUp) fail_not_over(world, line, job);
 }
 
-void over_batch(const World& world, const Line& line) {
+void batch_jobs_finished(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs())
     if (is_open(job) && !job.workload.is_service()) fail_not_over(world, line, job);
 }
@@ -72,11 +72,11 @@
 
 void done(const World& world, const Line& line) { expect_outcome(world, line, Outcome::kDone); }
 
-void withdrawn(const World& world, const Line& line) {
+void cancelled(const World& world, const Line& line) {
   expect_outcome(world, line, Outcome::kCancelled);
 }
 
-void status(const World& world, const Line& line) {
+void submit_status(const World& world, const Line& line) {
   const int got = job_at(world, line, 1).submit_status;
   if (got != line.integer_at(2)) fail(line, "status " + std::to_string(got));
 }
@@ -87,7 +87,7 @@
 }
 
 // Each replica of every service that nobody asked to cancel runs.
-void services_whole(const World& world, const Line& line) {
+void services_fully_running(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs()) {
     if (!job.workload.is_service() || !job.accepted() || job.cancel_requested) continue;
     const int got = world.ledger().running_tasks(id);
@@ -114,21 +114,21 @@
   expect_at_least(line, 1, static_cast<uint64_t>(world.fleet().alive()));
 }
 
-void sessions_at_most(const World& world, const Line& line) {
+void agent_epoch_at_most(const World& world, const Line& line) {
   expect_at_most(line, 1, world.fleet().max_agent_epoch());
 }
 
 // ---- store and controllers -----------------------------------------------------------------
 
-void requests_at_most(const World& world, const Line& line) {
+void store_requests_at_most(const World& world, const Line& line) {
   expect_at_most(line, 1, world.store().requests());
 }
 
-void refused_at_most(const World& world, const Line& line) {
+void store_refusals_at_most(const World& world, const Line& line) {
   expect_at_most(line, 1, world.store().refused_requests());
 }
 
-void writes_at_most(const World& world, const Line& line) {
+void store_writes_at_most(const World& world, const Line& line) {
   expect_at_most(line, 1, world.store().writes());
 }
 
@@ -136,7 +136,7 @@
   expect_at_most(line, 1, world.router().peer_bytes());
 }
 
-void leader(const World& world, const Line& line) {
+void has_leader(const World& world, const Line& line) {
   if (!world.cluster().leader()) fail(line, "no controller leads");
 }
 
@@ -154,7 +154,7 @@
 }
 
 // No controller owns two partitions more than another.
-void even(const World& world, const Line& line) {
+void partitions_balanced(const World& world, const Line& line) {
   std::map<std::string, int> owned;
   for (const auto& label : world.cluster().labels()) owned[label] = 0;
   for (const auto& lease : partition_leases(world)) ++owned[lease.at("h").get<std::string>()];
@@ -164,7 +164,7 @@
 }
 
 // Tokens rise with each lease of a partition.
-void token_at_most(const World& world, const Line& line) {
+void fencing_token_at_most(const World& world, const Line& line) {
   uint64_t highest = 0;
   for (const auto& lease : partition_leases(world))
     highest = std::max(highest, lease.at("t").get<uint64_t>());
@@ -174,26 +174,26 @@
 const VerbTable<const World>& expectations() {
   static const VerbTable<const World> kExpectations(
       "expectation", {
-                         {"over", {}, over},
-                         {"over_batch", {}, over_batch},
+                         {"jobs_finished", {}, jobs_finished},
+                         {"batch_jobs_finished", {}, batch_jobs_finished},
                          {"done", {}, done},
-                         {"withdrawn", {}, withdrawn},
-                         {"status", {}, status},
+                         {"cancelled", {}, cancelled},
+                         {"submit_status", {}, submit_status},
                          {"running", {}, running},
-                         {"services_whole", {}, services_whole},
+                         {"services_fully_running", {}, services_fully_running},
                          {"starts_at_most", {}, starts_at_most},
                          {"starts_after_cancel_at_most", {}, starts_after_cancel_at_most},
                          {"machines_at_most", {}, machines_at_most},
                          {"machines_at_least", {}, machines_at_least},
-                         {"sessions_at_most", {}, sessions_at_most},
-                         {"requests_at_most", {}, requests_at_most},
-                         {"refused_at_most", {}, refused_at_most},
-                         {"writes_at_most", {}, writes_at_most},
+                         {"agent_epoch_at_most", {}, agent_epoch_at_most},
+                         {"store_requests_at_most", {}, store_requests_at_most},
+                         {"store_refusals_at_most", {}, store_refusals_at_most},
+                         {"store_writes_at_most", {}, store_writes_at_most},
                          {"peer_bytes_at_most", {}, peer_bytes_at_most},
-                         {"leader", {}, leader},
+                         {"has_leader", {}, has_leader},
                          {"upgraded", {}, upgraded},
-                         {"even", {}, even},
-                         {"token_at_most", {}, token_at_most},
+                         {"partitions_balanced", {}, partitions_balanced},
+                         {"fencing_token_at_most", {}, fencing_token_at_most},
                      });
   return kExpectations;
 }
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -45,28 +45,31 @@
 
 void read_store_limits(const Line& line, WorldOptions& options) {
   StoreLimits& present = options.store_limits;
-  present.writes_per_s = line.get("writes", present.writes_per_s);
-  present.transaction_writes = get_size(line, "ops", present.transaction_writes);
-  present.value_bytes = get_size(line, "value", present.value_bytes);
-  if (!line.has("next_writes") && !line.has("next_ops") && !line.has("next_value")) return;
+  present.writes_per_s = line.get("store_write_rps", present.writes_per_s);
+  present.transaction_writes = get_size(line, "transaction_writes", present.transaction_writes);
+  present.value_bytes = get_size(line, "value_bytes", present.value_bytes);
+  if (!line.has("announced_write_rps") && !line.has("announced_transaction_writes") &&
+      !line.has("announced_value_bytes"))
+    return;
   StoreLimits announced;
-  announced.writes_per_s = line.get("next_writes", present.writes_per_s);
-  announced.transaction_writes = get_size(line, "next_ops", present.transaction_writes);
-  announced.value_bytes = get_size(line, "next_value", present.value_bytes);
+  announced.writes_per_s = line.get("announced_write_rps", present.writes_per_s);
+  announced.transaction_writes =
+      get_size(line, "announced_transaction_writes", present.transaction_writes);
+  announced.value_bytes = get_size(line, "announced_value_bytes", present.value_bytes);
   options.announced_store_limits = announced;
 }
 
 void world(Deployment& deployment, const Line& line) {
   WorldOptions& options = deployment.options(line);
-  options.controllers = get_size(line, "nodes", options.controllers);
-  options.heartbeat_s = line.get("report", options.heartbeat_s);
+  options.controllers = get_size(line, "controllers", options.controllers);
+  options.heartbeat_s = line.get("heartbeat", options.heartbeat_s);
   options.lease_s = line.get("lease", options.lease_s);
   options.cancel_s = line.get("cancel", options.cancel_s);
   options.gang_wait_s = line.get("gang_wait", options.gang_wait_s);
   options.gang_peer_s = line.get("gang_peer", options.gang_peer_s);
-  options.store_requests_per_s = line.get("rps", options.store_requests_per_s);
-  options.cloud_requests_per_s = line.get("cloud", options.cloud_requests_per_s);
-  options.cloud_list_lag_s = line.get("lag", options.cloud_list_lag_s);
+  options.store_requests_per_s = line.get("store_rps", options.store_requests_per_s);
+  options.cloud_requests_per_s = line.get("cloud_rps", options.cloud_requests_per_s);
+  options.cloud_list_lag_s = line.get("cloud_list_lag", options.cloud_list_lag_s);
   options.first_version = line.get_flag("first_version");
   read_store_limits(line, options);
 }
@@ -97,7 +100,7 @@
                     [&world, action = line.without_words(2)] { run_action(world, action); });
 }
 
-void faults(Deployment& deployment, const Line& line) {
+void random_faults(Deployment& deployment, const Line& line) {
   World& world = deployment.world();
   standins::schedule_random_faults(world.simulation(), world.controllers(), world.faults(),
                                    line.get("from", 10), line.get("to", 60),
@@ -120,13 +123,15 @@
       {
           {"kind", {"seeds", "first"}, kind},
           {"world",
-           {"nodes", "report", "lease", "cancel", "gang_wait", "gang_peer", "rps", "writes", "ops",
-            "value", "next_writes", "next_ops", "next_value", "cloud", "lag", "first_version"},
+           {"controllers", "heartbeat", "lease", "cancel", "gang_wait", "gang_peer", "store_rps",
+            "store_write_rps", "transaction_writes", "value_bytes", "announced_write_rps",
+            "announced_transaction_writes", "announced_value_bytes", "cloud_rps", "cloud_list_lag",
+            "first_version"},
            world},
           {"type", {"cpus", "memory", "price", "spot", "boot", "fetch", "zones", "capacity"}, type},
           {"team", {"cpus", "max"}, team},
           {"start", {}, start},
-          {"faults", {"from", "to", "count"}, faults},
+          {"random_faults", {"from", "to", "count"}, random_faults},
           {"run", {}, run},
       });
   return kStatements;
