--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -1,5 +1,5 @@
 // When a pass of placement runs, on which machines, and for which work.
-#include <utility>
+#include <string>
 #include <vector>
 
 #include "rooksill/model/job.h"
@@ -75,7 +75,13 @@
   placement::sort_by_urgency(waiting);
   quota_usage_.refresh_shares();
   eviction_budget_.refill(client_.writes_per_s(), ctx_.now.steady);
-  PlacementPass pass(*this, eviction_budget_, open_workers());
+  const auto failed_there = [this](const std::string& job, const std::string& machine) {
+    auto trouble = troubles_.find(job);
+    return trouble != troubles_.end() && trouble->second.machines.count(machine) != 0;
+  };
+  PlacementPass pass({ctx_, replica_, owned_, changes_, workers_, capacities_, quota_usage_,
+                      evicted_, failed_there},
+                     eviction_budget_, open_workers());
   for (const WaitingShard& shard : waiting) {
     if (shard.job->spec.shape == model::Shape::kGang)
       pass.place_gang(shard);
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -85,7 +85,6 @@
   std::optional<wire::UnassignedMachine> take_unassigned_machine();
 
  private:
-  friend class PlacementPass;
   struct JobTrouble {
     std::set<std::string> machines;
     int failures = 0;
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -8,7 +8,6 @@
 #include "rooksill/changes/shard_changes.h"
 #include "rooksill/changes/task_change.h"
 #include "rooksill/model/machine.h"
-#include "rooksill/partition/partition_owner.h"
 #include "rooksill/placement/ranking.h"
 #include "rooksill/wire/store_codec.h"
 
@@ -40,13 +39,13 @@
 
 }  // namespace
 
-PlacementPass::PlacementPass(PartitionOwner& owner, placement::EvictionBudget& budget,
+PlacementPass::PlacementPass(Environment environment, placement::EvictionBudget& budget,
                              std::vector<agent::Worker*> workers)
-    : owner_(owner),
+    : env_(std::move(environment)),
       workers_(std::move(workers)),
       machines_(capacities_of(workers_)),
-      feasibility_(owner.ctx_.settings.platform.objectives),
-      cheapest_cpu_(placement::cheapest_cpu_price(owner.replica_.types)),
+      feasibility_(env_.context.settings.platform.objectives),
+      cheapest_cpu_(placement::cheapest_cpu_price(env_.replica.types)),
       preemption_(machines_, feasibility_, budget,
                   [this](const MachineCapacity& machine, model::Priority below) {
                     return list_preemptible(machine, below);
@@ -74,7 +73,7 @@
   for (const MachineOption& option : options) {
     const int partition = option.capacity->partition;
     if (demand.quota_tasks.count(partition) == 0)
-      demand.quota_tasks[partition] = owner_.quota_usage_.tasks_left(job.spec, partition);
+      demand.quota_tasks[partition] = env_.quota_usage.tasks_left(job.spec, partition);
   }
 
   auto rest = options.end();
@@ -96,7 +95,7 @@
 std::vector<uint32_t> PlacementPass::tasks_to_place(const WaitingShard& waiting) const {
   const model::TaskShard& shard = waiting.job->shards[waiting.shard];
   const changes::ShardChanges* pending =
-      owner_.changes_.find_shard({waiting.job->spec.id, waiting.shard});
+      env_.changes.find_shard({waiting.job->spec.id, waiting.shard});
   std::vector<uint32_t> indexes;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
@@ -104,8 +103,8 @@
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
       if (change->kind == TaskChange::Kind::kLost && !pending->in_flight()) indexes.push_back(i);
-    } else if (owner_.replica_.waits(task) &&
-               (task.machine.empty() || owner_.replica_.lists_cover(shard))) {
+    } else if (env_.replica.waits(task) &&
+               (task.machine.empty() || env_.replica.lists_cover(shard))) {
       indexes.push_back(i);
     }
   }
@@ -125,7 +124,7 @@
 // Counts the shard's tasks where they are and where they were decided to go. False if the zone of
 // one is not known.
 bool PlacementPass::count_by_zone(const model::Job& job, uint32_t shard, ZoneLimits& zones) const {
-  const changes::ShardChanges* pending = owner_.changes_.find_shard({job.spec.id, shard});
+  const changes::ShardChanges* pending = env_.changes.find_shard({job.spec.id, shard});
   // What has ended on a machine is there no more, though that is not written yet.
   auto ended = [&](uint32_t index) {
     if (pending == nullptr) return false;
@@ -137,8 +136,7 @@
     if (tasks[i].machine.empty() || ended(i)) continue;
     // A machine that is in no list here may have been added since the lists were read: other
     // controllers' updates of shards come faster than the watch.
-    if (owner_.replica_.machine_gone(tasks[i].machine) &&
-        !owner_.replica_.lists_cover(job.shards[shard]))
+    if (env_.replica.machine_gone(tasks[i].machine) && !env_.replica.lists_cover(job.shards[shard]))
       return false;
     count_on(tasks[i].machine, job.spec, zones);
   }
@@ -151,23 +149,18 @@
 
 void PlacementPass::count_on(const std::string& machine, const model::JobSpec& spec,
                              ZoneLimits& zones) const {
-  const model::Machine* known = owner_.replica_.machine(machine);
+  const model::Machine* known = env_.replica.machine(machine);
   if (known == nullptr) return;
   zones.add(known->zone);
   if (spec.one_zone) zones.restrict_to(known->zone);
 }
 
-bool PlacementPass::failed_there(const model::Job& job, const agent::Worker& worker) const {
-  auto trouble = owner_.troubles_.find(job.spec.id);
-  return trouble != owner_.troubles_.end() && trouble->second.machines.count(worker.name) != 0;
-}
-
 // How many more of the job's tasks the machine takes, also by the team's quota.
 uint32_t PlacementPass::slots(const model::JobSpec& spec, size_t machine) {
   const MachineCapacity& capacity = *machines_[machine];
   double count = feasibility_.free_slots(spec, capacity, set_aside_[machine]);
   if (count < 1) return 0;
-  count = std::min(count, owner_.quota_usage_.tasks_left(spec, capacity.partition));
+  count = std::min(count, env_.quota_usage.tasks_left(spec, capacity.partition));
   return count < 1 ? 0 : static_cast<uint32_t>(count);
 }
 
@@ -180,8 +173,8 @@
     if (zones.left(capacity.zone) == 0) continue;
     const uint32_t count = slots(job.spec, i);
     if (count == 0) continue;
-    const double score =
-        placement::score(job, capacity, cheapest_cpu_, failed_there(job, *workers_[i]));
+    const double score = placement::score(job, capacity, cheapest_cpu_,
+                                          env_.failed_there(job.spec.id, capacity.machine));
     options.push_back({i, &capacity, count, placement::image_wait_s(job, capacity), score});
   }
   return options;
@@ -198,13 +191,13 @@
       const uint32_t index = tasks.indexes[tasks.placed++];
       const uint64_t attempt = shard.tasks[index].attempt + 1;
       const model::TaskRef ref{job.spec.id, tasks.shard * job.tasks_per_shard + index};
-      owner_.changes_.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
-      owner_.ctx_.debug("placement", "task {} attempt {} goes to {} after {:.2f} s{}",
-                        wire::task_name(ref), attempt, worker.name,
-                        owner_.ctx_.now.wall - job.submitted,
-                        worker.capacity.has_image(job.image) ? "" : ", image not there");
+      env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
+      env_.context.debug("placement", "task {} attempt {} goes to {} after {:.2f} s{}",
+                         wire::task_name(ref), attempt, worker.name,
+                         env_.context.now.wall - job.submitted,
+                         worker.capacity.has_image(job.image) ? "" : ", image not there");
     }
-    owner_.capacities_.recompute(worker);
+    env_.capacities.recompute(worker);
   }
 }
 
@@ -213,20 +206,20 @@
 uint32_t PlacementPass::preempt(const model::Job& job, uint32_t tasks, const ZoneLimits& zones,
                                 bool only_with_image) {
   const auto within_quota = [&](int partition) {
-    return owner_.quota_usage_.allows_task(job.spec, partition);
+    return env_.quota_usage.allows_task(job.spec, partition);
   };
   const placement::PreemptionPlan plan =
       preemption_.plan({&job, tasks, zones, only_with_image, within_quota});
   for (const placement::Eviction& eviction : plan.evictions) {
     agent::Worker& worker = *workers_[eviction.machine];
     for (const model::TaskRef& ref : eviction.tasks) {
-      owner_.ctx_.debug("placement", "task {} on {} is evicted to make room for {}",
-                        wire::task_name(ref), worker.name, job.spec.id);
-      owner_.ctx_.count("tasks_stopped");
-      owner_.evicted_.evict(ref, owner_.replica_.task(ref)->attempt);
+      env_.context.debug("placement", "task {} on {} is evicted to make room for {}",
+                         wire::task_name(ref), worker.name, job.spec.id);
+      env_.context.count("tasks_stopped");
+      env_.evicted.evict(ref, env_.replica.task(ref)->attempt);
     }
-    owner_.workers_.mark_changed(worker);
-    owner_.capacities_.recompute(worker);
+    env_.workers.mark_changed(worker);
+    env_.capacities.recompute(worker);
   }
   return plan.tasks;
 }
@@ -234,10 +227,10 @@
 std::vector<placement::PreemptibleTask> PlacementPass::list_preemptible(
     const MachineCapacity& machine, model::Priority below) const {
   std::vector<placement::PreemptibleTask> tasks;
-  for (const auto& ref : owner_.replica_.placed_on(machine.machine)) {
-    const model::JobSpec& spec = owner_.replica_.job(ref.job)->spec;
+  for (const auto& ref : env_.replica.placed_on(machine.machine)) {
+    const model::JobSpec& spec = env_.replica.job(ref.job)->spec;
     if (spec.priority >= below || spec.shape == model::Shape::kGang) continue;
-    if (owner_.evicted_.contains(ref)) continue;
+    if (env_.evicted.contains(ref)) continue;
     tasks.push_back({spec.priority, ref, spec.request});
   }
   return tasks;
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -3,13 +3,21 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <functional>
 #include <optional>
 #include <span>
+#include <string>
 #include <vector>
 
 #include "rooksill/agent/worker.h"
+#include "rooksill/agent/worker_table.h"
+#include "rooksill/changes/owned_partitions.h"
+#include "rooksill/changes/task_change_queue.h"
 #include "rooksill/model/job.h"
 #include "rooksill/model/resources.h"
+#include "rooksill/partition/capacity_tracker.h"
+#include "rooksill/partition/quota_usage.h"
+#include "rooksill/placement/evicted_tasks.h"
 #include "rooksill/placement/feasibility.h"
 #include "rooksill/placement/machine_capacity.h"
 #include "rooksill/placement/preemption.h"
@@ -17,19 +25,38 @@
 #include "rooksill/placement/unmet_requests.h"
 #include "rooksill/placement/work_order.h"
 #include "rooksill/placement/zone_limits.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
 
 namespace rooksill::partition {
 
-class PartitionOwner;
-
 // Takes shards in the order of their urgency: plans where their tasks go and what is evicted for
 // them (package placement), and applies each plan at once, so that the next one is made on what is
 // left. What it decides becomes changes of task states; nothing is in the store when it returns.
 class PlacementPass {
  public:
-  PlacementPass(PartitionOwner& owner, placement::EvictionBudget& budget,
+  // What a pass reads and changes. All of it has to outlive the pass.
+  struct Environment {
+    runtime::Context& context;
+    const store::Replica& replica;
+    const changes::OwnedPartitions& owned;
+    changes::TaskChangeQueue& changes;
+    agent::WorkerTable& workers;
+    CapacityTracker& capacities;
+    QuotaUsage& quota_usage;
+    placement::EvictedTasks& evicted;
+    // Whether tasks of the job with this id have failed on the machine.
+    std::function<bool(const std::string& job, const std::string& machine)> failed_there;
+  };
+
+  // `workers` are those that take tasks; the budget is kept from pass to pass.
+  PlacementPass(Environment environment, placement::EvictionBudget& budget,
                 std::vector<agent::Worker*> workers);
 
+  // Parts of a pass refer to others.
+  PlacementPass(const PlacementPass&) = delete;
+  PlacementPass& operator=(const PlacementPass&) = delete;
+
   // Places as many of the shard's tasks as find room. Not for gangs.
   void place_shard(const placement::WaitingShard& waiting);
   // Places all tasks of the gang or none.
@@ -49,7 +76,6 @@
   bool count_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
   void count_on(const std::string& machine, const model::JobSpec& spec,
                 placement::ZoneLimits& zones) const;
-  bool failed_there(const model::Job& job, const agent::Worker& worker) const;
   uint32_t slots(const model::JobSpec& spec, size_t machine);
   std::vector<placement::MachineOption> options_for(const model::Job& job,
                                                     const placement::ZoneLimits& zones);
@@ -65,7 +91,7 @@
   void make_room_for_gang(const model::Job& job);
   uint32_t set_aside_for_gang(const model::JobSpec& spec, const std::string& zone);
 
-  PartitionOwner& owner_;
+  const Environment env_;
   const std::vector<agent::Worker*> workers_;
   const std::vector<const placement::MachineCapacity*> machines_;  // of the workers
   const placement::Feasibility feasibility_;
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -7,7 +7,6 @@
 
 #include "rooksill/changes/shard_changes.h"
 #include "rooksill/changes/task_change.h"
-#include "rooksill/partition/partition_owner.h"
 #include "rooksill/partition/placement_pass.h"
 #include "rooksill/placement/gang_plan.h"
 
@@ -27,7 +26,7 @@
 // The number of the next attempt, if all tasks of the one before are gone for certain.
 std::optional<uint64_t> PlacementPass::next_gang_attempt(const model::Job& job) const {
   const model::TaskShard& shard = job.shards.front();
-  const changes::ShardChanges* pending = owner_.changes_.find_shard({job.spec.id, 0});
+  const changes::ShardChanges* pending = env_.changes.find_shard({job.spec.id, 0});
   uint64_t last = 0;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
@@ -36,8 +35,8 @@
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
       if (change->kind != TaskChange::Kind::kLost || pending->in_flight()) return std::nullopt;
-    } else if (!owner_.replica_.waits(task) ||
-               (!task.machine.empty() && !owner_.replica_.lists_cover(shard))) {
+    } else if (!env_.replica.waits(task) ||
+               (!task.machine.empty() && !env_.replica.lists_cover(shard))) {
       return std::nullopt;
     }
   }
@@ -47,9 +46,9 @@
 // The whole gang, with what the team's quota still takes in each partition.
 Demand PlacementPass::gang_demand(const model::JobSpec& spec) {
   Demand demand{spec.tasks, ZoneLimits(spec), {}};
-  for (const int partition : owner_.owned_.list())
+  for (const int partition : env_.owned.list())
     demand.quota_tasks[partition] =
-        std::clamp<double>(owner_.quota_usage_.tasks_left(spec, partition), 0, spec.tasks);
+        std::clamp<double>(env_.quota_usage.tasks_left(spec, partition), 0, spec.tasks);
   return demand;
 }
 
@@ -66,13 +65,13 @@
   for (const auto& assignment : plan) {
     agent::Worker& worker = *workers_[assignment.machine];
     for (uint32_t k = 0; k < assignment.tasks; ++k)
-      owner_.changes_.add({job.spec.id, next++},
-                          TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
-    owner_.ctx_.debug("placement", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}",
-                      assignment.tasks, job.spec.id, *attempt, worker.name,
-                      owner_.ctx_.now.wall - job.submitted,
-                      worker.capacity.has_image(job.image) ? "" : ", image not there");
-    owner_.capacities_.recompute(worker);
+      env_.changes.add({job.spec.id, next++},
+                       TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
+    env_.context.debug("placement", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}",
+                       assignment.tasks, job.spec.id, *attempt, worker.name,
+                       env_.context.now.wall - job.submitted,
+                       worker.capacity.has_image(job.image) ? "" : ", image not there");
+    env_.capacities.recompute(worker);
   }
 }
 
@@ -81,7 +80,7 @@
 void PlacementPass::make_room_for_gang(const model::Job& job) {
   const auto room = placement::most_gang_room(job.spec, machines_, feasibility_);
   if (!room) return;
-  const auto& context = owner_.ctx_;
+  const auto& context = env_.context;
   const bool waits_long =
       context.now.wall - job.submitted > kSetAsideReports * context.settings.platform.report_s;
   const bool enough = room->tasks >= job.spec.tasks;
