--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -109,7 +109,7 @@
   const bool first_batch = previous <= 0;
   if (first_batch || pause_s < kPauseReports * context_.settings.platform.report_s) return;
   context_.resumed_at = now.steady;
-  peers_.paused(pause_s);
+  peers_.discount_pause(pause_s);
   context_.info("core", "process was paused for {:.1f} s: no starts until the store has answered",
                 pause_s);
 }
@@ -149,15 +149,15 @@
 void Controller::run_timed_steps() {
   const double now = context_.now.steady;
   cancellations_.collect();
-  cancellations_.tell();
+  cancellations_.send_updates();
   load_log_.tick();
-  client_.tick(now, peers_.live());
-  peers_.see(replica_);
+  client_.tick(now, peers_.live_controllers());
+  peers_.read_liveness_records(replica_);
   heartbeat_sender_.write_liveness_record();
   replica_sync_.tick();
   committer_.tick();
   upgrade_.tick(leader_.leading());
-  if (membership::Upgrade::complete(replica_)) peers_.speak(model::kPresentVersion);
+  if (membership::Upgrade::complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
   owner_.tick();
   if (timeout_check_timer_.fire(now, kTick * kTimeoutCheckTicks)) owner_.check_timeouts();
   if (heartbeat_timer_.fire(now, context_.settings.platform.report_s / kHeartbeatsPerReport)) {
@@ -251,7 +251,7 @@
 // ---- Messages of other controllers --------------------------------------------------------------
 
 void Controller::handle_peer_lost(const runtime::PeerLost& lost) {
-  peers_.lost(lost.label);
+  peers_.connection_lost(lost.label);
   status_publisher_.connection_lost(lost.label);
 }
 
@@ -283,8 +283,8 @@
 void Controller::handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat) {
   for (const wire::Address& address : heartbeat.addresses)
     owner_.record_address(address.machine, address.address);
-  cancellations_.heard(sender, heartbeat);
-  peers_.all()[sender].heartbeat = std::move(heartbeat);
+  cancellations_.receive(sender, heartbeat);
+  peers_.record_heartbeat(sender, std::move(heartbeat));
 }
 
 void Controller::handle_message(const std::string& sender, wire::MachineStatusUpdate update) {
@@ -305,7 +305,7 @@
 }
 
 void Controller::handle_message(const std::string& sender, const wire::Cancelled& cancelled) {
-  cancellations_.heard(sender, cancelled);
+  cancellations_.receive(sender, cancelled);
 }
 
 void Controller::handle_message(const std::string& /*sender*/, const wire::RoutingUpdate& routing) {
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -28,14 +28,14 @@
   heartbeat.addresses = owner_.take_addresses();
   heartbeat.unreachable_zones = owner_.unreachable_zones();
   heartbeat.quota_use = owner_.quota_use();
-  cancellations_.fill(heartbeat);
+  cancellations_.add_to_heartbeat(heartbeat);
   peers_.broadcast(wire::PeerKind::kHeartbeat, wire::pack(heartbeat));
 }
 
 void HeartbeatSender::write_liveness_record() {
   const double now = context_.now.steady;
   if (!liveness_timer_.expired(now) || !replica_.synced || !store_answers()) return;
-  const auto recipients = peers_.owed(replica_);
+  const auto recipients = peers_.liveness_recipients(replica_);
   if (recipients.empty()) return;
   model::LivenessRecord record;
   record.incarnation = context_.incarnation;
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -1,13 +1,14 @@
-// What was cancelled, between controllers: each numbers what it learns and passes it on. The others
-// say how far they have it, and each knows up to which moment nothing that was told to a user can
-// be unknown to it. The argument is in docs/safety.md.
+// What was cancelled, between controllers. Each process numbers the cancellations that it learns of
+// and sends them to the others; these say how far they have them. From that each knows up to which
+// moment no cancellation that was confirmed to a user can be unknown to it. The argument is in
+// docs/safety.md.
 #pragma once
 
 #include <cstdint>
 #include <deque>
 #include <map>
+#include <optional>
 #include <string>
-#include <utility>
 
 #include "rooksill/membership/peers.h"
 #include "rooksill/runtime/context.h"
@@ -16,47 +17,63 @@
 
 namespace rooksill::membership {
 
+// Times are seconds of this process's steady clock if nothing else is said.
 class Cancellations {
  public:
-  Cancellations(runtime::Context& ctx, store::Replica& replica, Peers& peers)
-      : ctx_(ctx), replica_(replica), peers_(peers) {}
+  Cancellations(runtime::Context& context, store::Replica& replica, Peers& peers)
+      : context_(context), replica_(replica), peers_(peers) {}
 
-  // Takes up what the replica has learned. Comes before anything is said to peers or users.
+  // Numbers what the replica has learned. Has to come before anything is said to peers or users.
   void collect();
-  // To those that lack some: at once what is new, and again what they have not confirmed.
-  void tell();
-  void fill(wire::ControllerHeartbeat& heartbeat) const;
+  // Sends peers the cancellations that they lack: new ones at once, and again after a while what
+  // they have not confirmed.
+  void send_updates();
+  // Adds how many cancellations this process knows, and how far it has those of each peer.
+  void add_to_heartbeat(wire::ControllerHeartbeat& heartbeat) const;
 
-  void heard(const std::string& label, const wire::Cancelled& message);
-  void heard(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
+  void receive(const std::string& label, const wire::Cancelled& message);
+  void receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
 
-  // Every cancellation that any controller told a user before this moment, by our steady clock, is
-  // in the replica.
+  // Every cancellation that any controller confirmed to a user before this moment is in the
+  // replica.
   double known_at() const;
 
  private:
-  // Of one peer's process; what it says is worth nothing for another process of the same node.
-  struct Word {
+  // How many cancellations a peer said it knew, and when that was received.
+  struct CountSample {
+    double received_at = 0;
+    uint64_t count = 0;
+  };
+  // Of one peer's process. Says nothing about another process of the same controller.
+  struct PeerProgress {
     uint64_t incarnation = 0;
-    double ready_at = -1;   // when it was first heard to know the state
-    double sent_at = -1e9;  // by its clock, when it made the last heartbeat that came
-    uint64_t said = 0;      // how many it had learned by then
-    uint64_t got = 0;       // all up to here are known here
-    std::deque<std::pair<double, uint64_t>> samples;  // (when it came, how many it said)
-    uint64_t confirmed = 0;                           // how many of ours it has
-    uint64_t told = 0;                                // how many of ours it was sent
-    double next_tell = -1e9;  // when what it has not confirmed is sent again
+    std::optional<double> ready_at;   // when it was first heard to know the store
+    double last_sent_at = kNever;     // by its clock, of the latest of its heartbeats received
+    uint64_t announced = 0;           // how many cancellations it knew by then
+    uint64_t received = 0;            // all of its cancellations up to this number are known here
+    std::deque<CountSample> samples;  // not yet covered by an answer of the store
+    uint64_t confirmed = 0;           // up to this number it has ours
+    uint64_t sent = 0;                // up to this number ours were sent to it
+    double next_resend = kNever;
   };
-  Word& word_of(const std::string& label);
 
-  runtime::Context& ctx_;
+  PeerProgress& progress_of(const std::string& label);
+  uint64_t learned_count() const { return first_ - 1 + learned_.size(); }
+  void send_from(uint64_t first, const std::string& label, PeerProgress& progress);
+  void record_count(uint64_t count, PeerProgress& progress) const;
+  void credit_what_store_covers(PeerProgress& progress) const;
+  void confirm(const std::string& label, const wire::CancellationAck& ack, uint64_t announced,
+               PeerProgress& progress);
+
+  runtime::Context& context_;
   store::Replica& replica_;
   Peers& peers_;
-  std::deque<std::string> learned_;  // those numbered first_ and up
+  std::deque<std::string> learned_;  // jobs; those numbered first_ and up
   uint64_t first_ = 1;
   bool was_synced_ = false;
-  std::map<std::string, Word> words_;
-  // By peer: all that it told a user before this moment is known. True whatever becomes of it.
+  std::map<std::string, PeerProgress> progress_;  // by peer
+  // By peer: everything that it confirmed to a user before this moment is known here. Stays true
+  // whatever becomes of the peer.
   std::map<std::string, double> confirmed_at_;
 };
 
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -1,7 +1,6 @@
-// What the other controllers said last.
+// The other controllers: messages to and from them, and which of them are alive.
 #pragma once
 
-#include <algorithm>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -16,70 +15,82 @@
 
 namespace rooksill::membership {
 
+// Earlier than every time of the steady clock.
+inline constexpr double kNever = -1e9;
+
+// What is known of the process that runs as another controller. Times are seconds of this process's
+// steady clock.
 struct Peer {
-  uint64_t incarnation = 0, sequence = 0;
-  int version = 0;  // of the envelope that came last
-  double last_heard = -1e9, first_heard = 0;
-  double liveness_seen_at = -1e9;  // when its last liveness record for us was seen in the state
-  model::Revision liveness_revision = model::kNoRevision;  // of the last one known
+  uint64_t incarnation = 0;  // 0: none was heard
+  uint64_t sequence = 0;     // of its last message
+  int version = 0;           // of its last envelope
+  double last_heard = kNever;
+  double first_heard = 0;  // after a silence, or since its process started
+  // When its last liveness record that is meant for us was seen in the store.
+  double liveness_seen_at = kNever;
+  model::Revision liveness_revision = model::kNoRevision;  // of its last record known
   wire::ControllerHeartbeat heartbeat;
 };
 
+// Owns what is known of the other controllers in the settings. A peer is heard while messages come
+// over its own connections; it is alive if it is heard or, where connections fail, while it renews
+// its liveness record in the store. All of it is soft state: nothing here is relied on for safety.
 class Peers {
  public:
-  explicit Peers(runtime::Context& ctx) : ctx_(ctx) {
-    for (const auto& p : ctx.settings.platform.peers) peers_[p.label];
-    for (const auto& [label, p] : peers_) labels_.push_back(label);
-  }
+  explicit Peers(runtime::Context& context);
 
-  // Nothing if the message is malformed, from nobody known, or older than what was heard.
+  // Nothing if the message is malformed, from no controller in the settings, or older than what was
+  // heard.
   std::optional<wire::Envelope> receive(const std::string& bytes);
+  // What a message of that kind said. `label`: of an envelope that was received.
+  void record_heartbeat(const std::string& label, wire::ControllerHeartbeat heartbeat);
   void send(const std::string& label, wire::PeerKind kind, const std::string& payload);
   void broadcast(wire::PeerKind kind, const std::string& payload);
-  void lost(const std::string& label);
+  // From now on messages go out in envelopes of this version, which older processes do not take.
+  void set_envelope_version(int version) { envelope_version_ = version; }
 
-  double liveness_interval() const { return kLivenessReports * ctx_.settings.platform.report_s; }
-  // From now on in envelopes of this version, which older processes do not take.
-  void speak(int version) { version_ = version; }
-  // This process stood still for so long: that time is nobody's silence.
-  void paused(double for_s) {
-    for (auto& [label, p] : peers_) p.last_heard += for_s;
-  }
+  // A connection to the peer ended or was refused.
+  void connection_lost(const std::string& label);
+  // This process stood still for so many seconds: that time is nobody's silence.
+  void discount_pause(double pause_s);
 
-  // What the state holds of the others' liveness records.
-  void see(const store::Replica& replica);
-  // The controllers that a liveness record is owed to: heard until lately, and not now; or not
-  // hearing us.
-  std::vector<std::string> owed(const store::Replica& replica) const;
+  // Takes up the liveness records of others that are new in the store.
+  void read_liveness_records(const store::Replica& replica);
+  // Whom this process should leave a liveness record for: those that were heard until lately and
+  // are not now, and those that do not hear us.
+  std::vector<std::string> liveness_recipients(const store::Replica& replica) const;
+  // Seconds between two liveness records of one controller.
+  double liveness_interval() const;
 
-  bool alive(const std::string& label) const;
-  bool heard(const std::string& label) const;  // over its own connection
-  int live() const;                            // with this one
-  double last_heard_any() const;
   // Of all other controllers in the settings, sorted.
   const std::vector<std::string>& labels() const { return labels_; }
+  // Null if the settings have no such other controller.
+  const Peer* find(const std::string& label) const;
+  bool alive(const std::string& label) const;
+  bool heard(const std::string& label) const;
+  // How many controllers are alive, this one included.
+  int live_controllers() const;
+  // When any other controller last showed that it is alive.
+  double last_heard_any() const;
   // Whether one that said it leads was heard in the last so many seconds.
   bool leader_heard_within(double seconds) const;
-  std::map<std::string, Peer>& all() { return peers_; }
-  const Peer* find(const std::string& label) const {
-    auto it = peers_.find(label);
-    return it == peers_.end() ? nullptr : &it->second;
-  }
-  double silence() const {
-    return ctx_.settings.operators.peer_silence_reports * ctx_.settings.platform.report_s;
-  }
+  // Seconds without a message after which a peer counts as not heard.
+  double silence() const;
 
  private:
-  static constexpr double kLivenessReports = 0.4;  // between two liveness records
-  static constexpr double kLivenessPatience =
-      2.5;  // pauses after the last one that a peer counts as alive
+  void read_liveness_record(const std::string& label, const model::LivenessRecord& record,
+                            Peer& peer);
+  bool has_recent_liveness_record(const Peer& peer) const;
+  bool asks_for_liveness_record(const std::string& label, const Peer& peer,
+                                const store::Replica& replica) const;
+  bool is_meant_for_us(const model::LivenessRecord& record) const;
 
-  runtime::Context& ctx_;
-  std::map<std::string, Peer> peers_;
+  runtime::Context& context_;
+  std::map<std::string, Peer> peers_;  // by label; the labels never change
   std::vector<std::string> labels_;
-  uint64_t seq_ = 0;
-  int version_ = model::kFirstVersion;
-  bool liveness_known_ = false;
+  uint64_t last_sequence_ = 0;
+  int envelope_version_ = model::kFirstVersion;
+  bool liveness_records_read_ = false;  // at least once
 };
 
 }  // namespace rooksill::membership
