--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -1,13 +1,12 @@
 #include "rooksill/partition/partition_owner.h"
 
 #include <algorithm>
-#include <iterator>
 
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
-#include "rooksill/model/value_sizes.h"
+#include "rooksill/partition/machine_status.h"
 #include "rooksill/placement/machine_capacity.h"
 #include "rooksill/quota/quota_shares.h"
 #include "rooksill/runtime/socket_budget.h"
@@ -544,51 +543,18 @@
 }
 
 std::string PartitionOwner::summary() {
-  size_t reported = 0, taking = 0, sending = 0, placed = 0;
-  std::array<size_t, 5> phases{};
-  double cpus = 0, free = 0;
-  for (auto& [name, w] : workers_) {
-    const placement::MachineCapacity& capacity = capacities_.capacity(w);
-    reported += w.reported ? 1 : 0;
-    sending += w.tokens.in_flight != model::kNoFencingToken ? 1 : 0;
-    placed += replica_.placed_on(name).size();
-    for (const auto& t : w.tasks) ++phases[static_cast<size_t>(t.phase)];
-    if (!open(w)) continue;
-    ++taking;
-    cpus += capacity.type->capacity.cpus;
-    free += capacity.free.cpus;
+  MachineSummary machines;
+  for (auto& [name, worker] : workers_) {
+    const placement::MachineCapacity& capacity = capacities_.capacity(worker);
+    machines.add(worker, capacity, open(worker), replica_.placed_on(name).size());
   }
-  return fmt::format(
-      "machines: {}, {} heard, {} taking tasks with {:.0f} of {:.0f} cores free, {} sent commands; "
-      "tasks: {} placed, reported {} fetching, {} gathering, {} running, {} saving, {} ended; "
-      "chunks routed here: {}",
-      workers_.size(), reported, taking, free, cpus, sending, placed, phases[0], phases[1],
-      phases[2], phases[3], phases[4], routed_.size());
-}
-
-wire::MachineStatus PartitionOwner::status_of(agent::Worker& w) {
-  const placement::MachineCapacity& capacity = capacities_.capacity(w);
-  wire::MachineStatus v;
-  v.name = w.name;
-  v.up = w.reported;
-  v.draining = workers_.draining(w.name);
-  v.silent = w.silent;
-  v.bad = w.failures.faulty;
-  v.termination_notice = w.terminates_at.has_value();
-  v.cpus_free = open(w) ? capacity.free.cpus : 0;
-  if (open(w))
-    std::copy(capacity.cpus_by_priority.begin(), capacity.cpus_by_priority.end(),
-              v.cpus_by_priority.begin());
-  v.gpus_free = capacity.free.gpus;
-  v.memory_free = capacity.free.memory_gb;
-  v.tasks = capacity.tasks;
-  if (capacity.type != nullptr && capacity.type->capacity.cpus > 0) {
-    const model::Resources& whole = capacity.type->capacity;
-    v.load = std::max(1 - capacity.free.cpus / whole.cpus,
-                      whole.memory_gb > 0 ? 1 - capacity.free.memory_gb / whole.memory_gb : 0);
-  }
-  for (const auto& entry : w.images.entries()) v.images.push_back(replica_.image_name(entry.image));
-  return v;
+  return fmt::format("{}; shards routed here: {}", machines.text(), routed_.size());
+}
+
+wire::MachineStatus PartitionOwner::status_of(agent::Worker& worker) {
+  const placement::MachineCapacity& capacity = capacities_.capacity(worker);
+  const MachineAvailability availability{workers_.draining(worker.name), open(worker)};
+  return machine_status(worker, capacity, availability, replica_);
 }
 
 std::vector<wire::MachineStatus> PartitionOwner::take_statuses(bool all) {
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -2,10 +2,7 @@
 // them.
 #pragma once
 
-#include <array>
 #include <cstdint>
-#include <list>
-#include <map>
 #include <optional>
 #include <set>
 #include <string>
@@ -24,7 +21,6 @@
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
 #include "rooksill/model/job.h"
-#include "rooksill/model/machine.h"
 #include "rooksill/partition/capacity_tracker.h"
 #include "rooksill/partition/quota_usage.h"
 #include "rooksill/partition/routed_shards.h"
@@ -115,7 +111,7 @@
   void evict(const wire::TaskMove& move);
   void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
-  wire::MachineStatus status_of(agent::Worker& w);
+  wire::MachineStatus status_of(agent::Worker& worker);
   bool open(const agent::Worker& w) const;
   std::vector<agent::Worker*> open_workers();
   bool exceeds_quota(const std::string& team, agent::Worker& w);
