--- /dev/null
+++ b/src/rooksill/agent/command_sender.h
@@ -0,0 +1,65 @@
+// Sends direct commands to workers.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "rooksill/agent/heartbeat_receiver.h"
+#include "rooksill/agent/reconciler.h"
+#include "rooksill/agent/renewal_permit.h"
+#include "rooksill/agent/worker_table.h"
+#include "rooksill/model/identifiers.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/worker_codec.h"
+
+namespace rooksill::agent {
+
+// What a worker has to do goes out at once where it is urgent; the rest waits for the answer to the
+// worker's next report. One command is under way to a worker at a time.
+//
+// A command that was not acknowledged may be carried out later. If it starts tasks, the worker's
+// fencing token is raised: once the worker has seen the higher one, the old command is void.
+class CommandSender {
+ public:
+  struct Dependencies {
+    runtime::Context& context;
+    const store::Replica& replica;
+    WorkerTable& workers;
+    HeartbeatReceiver& receiver;
+    Reconciler& reconciler;
+    const RenewalPermit& renewal_permit;
+  };
+
+  explicit CommandSender(const Dependencies& dependencies);
+
+  // Reconciles the workers that changed since the last call and sends what is urgent.
+  void send_urgent();
+
+ private:
+  // What is kept of a command while it is under way.
+  struct Sent {
+    std::string machine;
+    model::FencingToken token;
+    bool starts_tasks;
+  };
+
+  void handle_changed(Worker& worker);
+  bool may_send(const Worker& worker) const;
+  bool may_start_tasks() const;
+  void hold_back_starts(Worker& worker, std::vector<wire::WorkerCommand>& commands);
+  void send(Worker& worker, const std::vector<wire::WorkerCommand>& commands);
+  void on_done(const Sent& sent, const runtime::CallDone& done);
+  void on_acknowledged(Worker& worker, int status, const wire::WorkerHeartbeat& heartbeat);
+  void on_not_acknowledged(Worker& worker, const Sent& sent, bool refused);
+
+  runtime::Context& context_;
+  const store::Replica& replica_;
+  WorkerTable& workers_;
+  HeartbeatReceiver& receiver_;
+  Reconciler& reconciler_;
+  const RenewalPermit& renewal_permit_;
+  int in_flight_ = 0;
+};
+
+}  // namespace rooksill::agent
--- /dev/null
+++ b/src/rooksill/agent/heartbeat_endpoint.h
@@ -0,0 +1,62 @@
+// Answers the reports that workers send.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "rooksill/agent/heartbeat_receiver.h"
+#include "rooksill/agent/reconciler.h"
+#include "rooksill/agent/renewal_permit.h"
+#include "rooksill/agent/worker_table.h"
+#include "rooksill/changes/owned_partitions.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/controller_messages.h"
+#include "rooksill/wire/worker_codec.h"
+
+namespace rooksill::agent {
+
+// POST /agent/beat. Only an answer with status 200 renews the lease of the worker's tasks:
+//   200  commands for the worker
+//   400  not a report
+//   421  the worker belongs to another controller, named if it is known
+//   503  later: this controller does not know enough to answer
+class HeartbeatEndpoint {
+ public:
+  struct Dependencies {
+    runtime::Context& context;
+    const store::Replica& replica;
+    const changes::OwnedPartitions& owned;
+    WorkerTable& workers;
+    HeartbeatReceiver& receiver;
+    Reconciler& reconciler;
+    const RenewalPermit& renewal_permit;
+  };
+
+  explicit HeartbeatEndpoint(const Dependencies& dependencies);
+
+  void handle(uint64_t request, const std::string& body);
+  // The last worker that reported without being in any partition, once.
+  std::optional<wire::UnassignedMachine> take_unassigned_machine();
+
+ private:
+  void answer_unassigned(uint64_t request, const wire::WorkerHeartbeat& heartbeat);
+  void answer_for_other_owner(uint64_t request, int partition);
+  void answer(uint64_t request, Worker& worker, const wire::WorkerHeartbeat& heartbeat);
+  void take_report(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
+  void try_again_later(uint64_t request) { context_.reply(request, 503, "{}", kRetryAfter); }
+
+  static constexpr double kRetryAfter = 1;  // s
+
+  runtime::Context& context_;
+  const store::Replica& replica_;
+  const changes::OwnedPartitions& owned_;
+  WorkerTable& workers_;
+  HeartbeatReceiver& receiver_;
+  Reconciler& reconciler_;
+  const RenewalPermit& renewal_permit_;
+  std::optional<wire::UnassignedMachine> unassigned_machine_;
+};
+
+}  // namespace rooksill::agent
--- /dev/null
+++ b/src/rooksill/agent/heartbeat_receiver.cc
@@ -0,0 +1,60 @@
+#include "rooksill/agent/heartbeat_receiver.h"
+
+#include <utility>
+
+namespace rooksill::agent {
+
+namespace {
+// A task that has its image.
+bool image_in_use(const wire::ReportedTask& task) {
+  return task.phase == wire::TaskPhase::kRunning || task.phase == wire::TaskPhase::kWaitingForGang;
+}
+}  // namespace
+
+HeartbeatReceiver::HeartbeatReceiver(runtime::Context& context, const store::Replica& replica,
+                                     WorkerTable& workers, FailureDetector& failure_detector,
+                                     std::function<void()> on_accepted)
+    : context_(context),
+      replica_(replica),
+      workers_(workers),
+      failure_detector_(failure_detector),
+      on_accepted_(std::move(on_accepted)) {}
+
+void HeartbeatReceiver::accept(Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
+  const HeartbeatVersion version = version_of(heartbeat);
+  if (worker.reported && version <= worker.version) return;
+  if (!worker.reported || version.agent_epoch != worker.version.agent_epoch)
+    context_.info("agent", "machine {} reports: agent epoch {} token {} tasks {}", worker.name,
+                  version.agent_epoch, model::number(heartbeat.fencing_token),
+                  heartbeat.tasks.size());
+  worker.reported = true;
+  worker.version = version;
+  worker.tokens.seen = heartbeat.fencing_token;
+  failure_detector_.record_contact(worker);
+  worker.tasks = heartbeat.tasks;
+  record_termination_notice(worker, heartbeat);
+  record_images(worker);
+  workers_.mark_changed(worker);
+  on_accepted_();
+}
+
+void HeartbeatReceiver::record_termination_notice(Worker& worker,
+                                                  const wire::WorkerHeartbeat& heartbeat) {
+  if (!heartbeat.termination_notice_s || worker.terminates_at) return;
+  worker.terminates_at = context_.now.steady + *heartbeat.termination_notice_s;
+  context_.info("agent", "machine {} will be taken in {:.1f} s", worker.name,
+                *heartbeat.termination_notice_s);
+}
+
+void HeartbeatReceiver::record_images(Worker& worker) {
+  for (const auto& task : worker.tasks) {
+    const model::Job* job = image_in_use(task) ? replica_.job(task.task.job) : nullptr;
+    if (job != nullptr) worker.images.touch(job->image, job->spec.image_gb);
+  }
+  const model::Machine* machine = replica_.machine(worker.name);
+  if (machine == nullptr) return;
+  auto type = replica_.types.find(machine->type);
+  if (type != replica_.types.end()) worker.images.shrink_to(type->second.cache_gb);
+}
+
+}  // namespace rooksill::agent
--- /dev/null
+++ b/src/rooksill/agent/reconciler.cc
@@ -0,0 +1,200 @@
+#include "rooksill/agent/reconciler.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "rooksill/wire/store_codec.h"
+
+namespace rooksill::agent {
+
+namespace {
+using changes::TaskChange;
+using wire::WorkerCommand;
+
+constexpr int kFaultyFailures = 3;       // in a row that make a machine faulty
+constexpr size_t kFaultyFailedJobs = 2;  // of which they have to be tasks
+// Start times are pruned once there are so many for each task, with some to spare.
+constexpr size_t kStartTimesPerTask = 4, kSpareTasks = 16;
+
+WorkerCommand stop(const wire::ReportedTask& task, double grace_s) {
+  return {WorkerCommand::Op::kStop, task.task, task.attempt, grace_s};
+}
+
+// Exits that say nothing of the machine: the task was told to stop, or its gang ended it.
+bool stopped_on_purpose(wire::ExitCause cause) {
+  return cause == wire::ExitCause::kStopped || cause == wire::ExitCause::kGangMemberLost ||
+         cause == wire::ExitCause::kGangIncomplete;
+}
+}  // namespace
+
+size_t remove_starts(std::vector<WorkerCommand>& commands) {
+  return std::erase_if(commands, [](const WorkerCommand& command) {
+    return command.op == WorkerCommand::Op::kStart;
+  });
+}
+
+Reconciler::Reconciler(const Dependencies& dependencies, QuotaCheck exceeds_quota)
+    : context_(dependencies.context),
+      replica_(dependencies.replica),
+      owned_(dependencies.owned),
+      changes_(dependencies.changes),
+      workers_(dependencies.workers),
+      evicted_(dependencies.evicted),
+      backoff_(dependencies.backoff),
+      exceeds_quota_(std::move(exceeds_quota)),
+      gangs_(replica_, changes_, workers_, evicted_) {}
+
+std::vector<WorkerCommand> Reconciler::reconcile(Worker& worker) {
+  std::vector<WorkerCommand> commands;
+  if (!worker.reported || !owned_.owns(worker.partition)) return commands;
+  const auto append = [&commands](OptionalCommand command) {
+    if (command) commands.push_back(std::move(*command));
+  };
+  std::set<model::TaskRef> matched;
+  for (const auto& reported : worker.tasks) {
+    if (!placed_here(worker, reported)) {
+      append(reconcile_stray(worker, reported));
+      continue;
+    }
+    matched.insert(reported.task);
+    if (!changes_.pending(reported.task)) append(reconcile_reported(worker, reported));
+  }
+  for (const auto& ref : replica_.placed_on(worker.name))
+    if (matched.count(ref) == 0 && !changes_.pending(ref))
+      append(reconcile_unreported(worker, ref));
+  if (worker.running_since.size() > kStartTimesPerTask * (worker.tasks.size() + kSpareTasks))
+    std::erase_if(worker.running_since,
+                  [&](const auto& entry) { return matched.count(entry.first) == 0; });
+  return commands;
+}
+
+bool Reconciler::placed_here(const Worker& worker, const wire::ReportedTask& reported) const {
+  const model::TaskState* task = replica_.task(reported.task);
+  return task != nullptr && !task->done && task->machine == worker.name &&
+         task->attempt == reported.attempt;
+}
+
+// A task that should not be there.
+Reconciler::OptionalCommand Reconciler::reconcile_stray(const Worker& worker,
+                                                        const wire::ReportedTask& reported) const {
+  if (reported.phase != wire::TaskPhase::kExited) return stop(reported, 0);
+  if (!worker.tokens.earlier_commands_fenced()) return std::nullopt;
+  return WorkerCommand{WorkerCommand::Op::kRemove, reported.task, reported.attempt, 0};
+}
+
+// A task that is where the store has it.
+Reconciler::OptionalCommand Reconciler::reconcile_reported(Worker& worker,
+                                                           const wire::ReportedTask& reported) {
+  if (reported.phase == wire::TaskPhase::kExited) {
+    reconcile_exited(worker, reported);
+    return std::nullopt;
+  }
+  if (reported.phase == wire::TaskPhase::kRunning)
+    worker.running_since.emplace(reported.task, context_.now.steady);
+  return stop_if_needed(worker, reported, *replica_.job(reported.task.job));
+}
+
+void Reconciler::reconcile_exited(Worker& worker, const wire::ReportedTask& reported) {
+  if (reported.cause == wire::ExitCause::kDone) {
+    worker.failures.consecutive = 0;
+    worker.failures.jobs.clear();
+    changes_.add(reported.task, TaskChange::done(worker.name, worker.partition, reported.attempt));
+  } else if (worker.tokens.earlier_commands_fenced()) {
+    record_loss(worker, reported);
+  }
+}
+
+Reconciler::OptionalCommand Reconciler::stop_if_needed(const Worker& worker,
+                                                       const wire::ReportedTask& reported,
+                                                       const model::Job& job) {
+  if (job.over()) return stop(reported, 0);
+  if (reported.phase == wire::TaskPhase::kSaving) return std::nullopt;
+  if (evicted_.contains(reported.task, reported.attempt)) return stop(reported, job.spec.save_s);
+  const bool gang = job.spec.shape == model::Shape::kGang;
+  // Without one of them the others cannot go on, and those that wait for one another to start would
+  // wait in vain. The next attempt needs all of them gone.
+  if (gang && gangs_.broken(job)) return stop(reported, 0);
+  // What is not likely to complete before the machine is taken starts elsewhere at once, instead of
+  // when the machine has gone.
+  if (!worker.terminates_at || ends_in_time(worker, reported, job.spec)) return std::nullopt;
+  if (gang) gangs_.stop(job);
+  return stop(reported, job.spec.save_s);
+}
+
+// A task that the store has on a worker, and the worker does not report. What was never started
+// there, or ended with the worker's agent epoch, is started (again) in place: its image is there,
+// and nothing has to be written. After a cut that outlasts the lease that is true of the tasks of
+// hundreds of machines at once.
+Reconciler::OptionalCommand Reconciler::reconcile_unreported(Worker& worker,
+                                                             const model::TaskRef& ref) {
+  const uint64_t attempt = replica_.task(ref)->attempt;
+  if (may_restart(worker, ref, *replica_.job(ref.job)))
+    return WorkerCommand{WorkerCommand::Op::kStart, ref, attempt, 0};
+  if (!worker.tokens.earlier_commands_fenced()) return std::nullopt;
+  worker.running_since.erase(ref);
+  changes_.add(ref, TaskChange::lost(worker.name, worker.partition, attempt));
+  return std::nullopt;
+}
+
+// Not on a machine that is to go, nor where the team's share has been given to others since the
+// task ended there unwritten. Nor can a gang's task come back to an attempt that has run, or that
+// has lost another task.
+bool Reconciler::may_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job) {
+  if (job.over() || worker.terminates_at || worker.failures.faulty) return false;
+  if (workers_.draining(worker.name)) return false;
+  if (job.spec.shape == model::Shape::kGang &&
+      (worker.running_since.count(ref) != 0 || gangs_.broken(job)))
+    return false;
+  return !exceeds_quota_(job.spec.team, worker);
+}
+
+// Whether a task is likely to complete before the machine is taken.
+bool Reconciler::ends_in_time(const Worker& worker, const wire::ReportedTask& reported,
+                              const model::JobSpec& spec) const {
+  if (spec.shape == model::Shape::kService) return false;
+  const double left = *worker.terminates_at - context_.now.steady - spec.save_s;
+  if (reported.phase != wire::TaskPhase::kRunning) return spec.estimate_s < left;
+  auto since = worker.running_since.find(reported.task);
+  const double ran = since == worker.running_since.end() ? 0 : context_.now.steady - since->second;
+  return spec.estimate_s - ran < left;
+}
+
+// ---- losses and failures -------------------------------------------------------------------
+
+void Reconciler::record_loss(Worker& worker, const wire::ReportedTask& reported) {
+  context_.debug("agent", "task {} attempt {} ended on {}: cause {}",
+                 wire::task_name(reported.task), reported.attempt, worker.name,
+                 static_cast<int>(reported.cause));
+  if (reported.cause == wire::ExitCause::kError)
+    record_failure(worker, reported.task.job, reported.attempt);
+  else if (!stopped_on_purpose(reported.cause))
+    worker.failures.avoid_until = context_.now.steady + context_.settings.platform.report_s / 3;
+  worker.running_since.erase(reported.task);
+  changes_.add(reported.task, TaskChange::lost(worker.name, worker.partition, reported.attempt));
+}
+
+// A machine on which task after task fails is returned; a job that fails on machine after machine
+// backs off by itself and is not held against them.
+void Reconciler::record_failure(Worker& worker, const std::string& job, uint64_t attempt) {
+  if (backoff_.record_failure(job, worker.name, attempt) == JobBackoff::Cause::kJob)
+    return forgive(job);
+  FailureRecord& failures = worker.failures;
+  ++failures.consecutive;
+  failures.jobs.insert(job);
+  failures.avoid_until =
+      context_.now.steady + context_.settings.platform.report_s * failures.consecutive;
+  if (failures.faulty || failures.consecutive < kFaultyFailures ||
+      failures.jobs.size() < kFaultyFailedJobs)
+    return;
+  failures.faulty = true;
+  context_.info("agent", "machine {} fails task after task: to be returned", worker.name);
+}
+
+// Takes the job's failures back from all machines.
+void Reconciler::forgive(const std::string& job) {
+  for (auto& [name, worker] : workers_)
+    if (worker.failures.jobs.erase(job) != 0)
+      worker.failures.consecutive = std::max(0, worker.failures.consecutive - 1);
+}
+
+}  // namespace rooksill::agent
--- /dev/null
+++ b/src/rooksill/agent/reconciler.h
@@ -0,0 +1,84 @@
+// Compares what workers report with what the store says.
+#pragma once
+
+#include <cstddef>
+#include <functional>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "rooksill/agent/gang_attempts.h"
+#include "rooksill/agent/job_backoff.h"
+#include "rooksill/agent/worker_table.h"
+#include "rooksill/changes/owned_partitions.h"
+#include "rooksill/changes/task_change_queue.h"
+#include "rooksill/model/job.h"
+#include "rooksill/placement/evicted_tasks.h"
+#include "rooksill/runtime/context.h"
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/worker_codec.h"
+
+namespace rooksill::agent {
+
+// Derives from each difference either a command to the worker or a change of the task's state. A
+// task with a change in the queue is left alone until the store has it.
+//
+// A worker's word that a task is absent or has ended counts only if no earlier command can still
+// reach it (WorkerTokens::earlier_commands_fenced): such a command might start the task again.
+class Reconciler {
+ public:
+  // Whether the team uses more than its share of its limit in the worker's partition.
+  using QuotaCheck = std::function<bool(const std::string& team, Worker&)>;
+
+  struct Dependencies {
+    runtime::Context& context;
+    const store::Replica& replica;
+    const changes::OwnedPartitions& owned;
+    changes::TaskChangeQueue& changes;
+    WorkerTable& workers;
+    placement::EvictedTasks& evicted;
+    JobBackoff& backoff;
+  };
+
+  Reconciler(const Dependencies& dependencies, QuotaCheck exceeds_quota);
+
+  // The commands that the worker needs now. Changes of task states go into the queue, where later
+  // steps of the same pass see them.
+  std::vector<wire::WorkerCommand> reconcile(Worker& worker);
+
+ private:
+  using OptionalCommand = std::optional<wire::WorkerCommand>;
+
+  // Whether the store has the reported attempt on this worker.
+  bool placed_here(const Worker& worker, const wire::ReportedTask& reported) const;
+  OptionalCommand reconcile_stray(const Worker& worker, const wire::ReportedTask& reported) const;
+  OptionalCommand reconcile_reported(Worker& worker, const wire::ReportedTask& reported);
+  void reconcile_exited(Worker& worker, const wire::ReportedTask& reported);
+  OptionalCommand reconcile_unreported(Worker& worker, const model::TaskRef& ref);
+
+  OptionalCommand stop_if_needed(const Worker& worker, const wire::ReportedTask& reported,
+                                 const model::Job& job);
+  bool may_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job);
+  bool ends_in_time(const Worker& worker, const wire::ReportedTask& reported,
+                    const model::JobSpec& spec) const;
+
+  void record_loss(Worker& worker, const wire::ReportedTask& reported);
+  void record_failure(Worker& worker, const std::string& job, uint64_t attempt);
+  void forgive(const std::string& job);
+
+  runtime::Context& context_;
+  const store::Replica& replica_;
+  const changes::OwnedPartitions& owned_;
+  changes::TaskChangeQueue& changes_;
+  WorkerTable& workers_;
+  placement::EvictedTasks& evicted_;
+  JobBackoff& backoff_;
+  QuotaCheck exceeds_quota_;
+  GangAttempts gangs_;
+};
+
+// Takes the starts out and says how many there were.
+size_t remove_starts(std::vector<wire::WorkerCommand>& commands);
+
+}  // namespace rooksill::agent
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -95,7 +95,7 @@
   owner_.transfer_quotas();
   owner_.place();
   owner_.flush();
-  owner_.push();
+  owner_.send_commands();
   user_requests_.flush();
   broadcast_updates();
 }
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -76,8 +76,7 @@
   quota_usage_.refresh_shares();
   eviction_budget_.refill(client_.writes_per_s(), ctx_.now.steady);
   const auto failed_there = [this](const std::string& job, const std::string& machine) {
-    auto trouble = troubles_.find(job);
-    return trouble != troubles_.end() && trouble->second.machines.count(machine) != 0;
+    return job_backoff_.failed_on(job, machine);
   };
   PlacementPass pass({ctx_, replica_, owned_, changes_, workers_, capacities_, quota_usage_,
                       evicted_, failed_there},
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -10,7 +10,13 @@
 #include <utility>
 #include <vector>
 
+#include "rooksill/agent/command_sender.h"
 #include "rooksill/agent/failure_detector.h"
+#include "rooksill/agent/heartbeat_endpoint.h"
+#include "rooksill/agent/heartbeat_receiver.h"
+#include "rooksill/agent/job_backoff.h"
+#include "rooksill/agent/reconciler.h"
+#include "rooksill/agent/renewal_permit.h"
 #include "rooksill/agent/worker.h"
 #include "rooksill/agent/worker_table.h"
 #include "rooksill/changes/owned_partitions.h"
@@ -43,7 +49,9 @@
                  store::Committer& committer, const membership::Cancellations& cancellations);
 
   // A worker's report; answers it.
-  void report(uint64_t request, const std::string& body);
+  void report(uint64_t request, const std::string& body) {
+    heartbeat_endpoint_.handle(request, body);
+  }
   // Takes in what the leader routes here, and what it wants moved, drained and transferred.
   void routes(const wire::RoutingUpdate& update);
   void route_here(const model::ShardId& shard) { routed_.add(shard); }
@@ -60,7 +68,7 @@
   void transfer_quotas();
   void place();                       // at most once in a while, if there is reason to
   void flush() { changes_.flush(); }  // changes of state, reports' results first
-  void push();                        // commands that must be quick
+  void send_commands() { command_sender_.send_urgent(); }  // as far as they are urgent
   void request_placement() { placement_requested_ = true; }
 
   // What changed since the last call, and some others in turn; everything if `all`.
@@ -77,67 +85,47 @@
   std::vector<std::string> unreachable_zones() const {
     return failure_detector_.unreachable_zones();
   }
-  bool backing_off(const std::string& job) const;
-  std::optional<wire::UnassignedMachine> take_unassigned_machine();
+  bool backing_off(const std::string& job) const { return job_backoff_.backing_off(job); }
+  std::optional<wire::UnassignedMachine> take_unassigned_machine() {
+    return heartbeat_endpoint_.take_unassigned_machine();
+  }
 
  private:
-  struct JobTrouble {
-    std::set<std::string> machines;
-    int failures = 0;
-    double retry_at = 0;
-  };
   void activate(int partition);
   void drop_workers(int partition);
-  void accept_heartbeat(agent::Worker& w, const wire::WorkerHeartbeat& r);
-  void reconcile(agent::Worker& w, std::vector<wire::WorkerCommand>* commands);
-  bool trusted(const agent::Worker& w) const;
-  bool ends_in_time(const agent::Worker& w, const wire::ReportedTask& t,
-                    const model::Job& job) const;
-  void lost(agent::Worker& w, const wire::ReportedTask& t);
-  void record_failure(agent::Worker& w, const std::string& job, uint64_t attempt);
-  void record_images(agent::Worker& w);
-
   // Of changes::TaskChangeListener.
   void on_change_added(const model::TaskRef& task, const changes::TaskChange& change) override;
   void on_change_removed(const model::TaskRef& task, const changes::TaskChange& change) override;
   bool terminating(const std::string& machine) const override;
 
-  std::optional<wire::WorkerCommand> command_for_unreported(agent::Worker& w,
-                                                            const model::TaskRef& ref,
-                                                            const model::Job& job, bool sure);
-  std::optional<wire::WorkerCommand> command_for(agent::Worker& w, const wire::ReportedTask& t,
-                                                 const model::Job& job);
-  bool entitled() const;
   void evict(const wire::TaskMove& move);
-  void send(agent::Worker& w, std::vector<wire::WorkerCommand> commands, bool even_if_empty);
 
   wire::MachineStatus status_of(agent::Worker& worker);
   bool open(const agent::Worker& w) const;
   std::vector<agent::Worker*> open_workers();
   bool exceeds_quota(const std::string& team, agent::Worker& w);
   std::vector<placement::WaitingShard> waiting_shards();
-  // Gang jobs.
-  bool gang_broken(const model::Job& job) const;
-  void stop_gang(const model::Job& job);
 
   runtime::Context& ctx_;
   store::Replica& replica_;
   store::Client& client_;
-  const membership::Cancellations& cancellations_;
   changes::OwnedPartitions owned_;
   agent::WorkerTable workers_;
   agent::FailureDetector failure_detector_;
   changes::TaskChangeQueue changes_;
-  RoutedShards routed_;
-  std::unordered_map<std::string, JobTrouble> troubles_;
   placement::EvictedTasks evicted_;
+  agent::JobBackoff job_backoff_;
+  agent::RenewalPermit renewal_permit_;
+  agent::HeartbeatReceiver heartbeat_receiver_;
+  agent::Reconciler reconciler_;
+  agent::HeartbeatEndpoint heartbeat_endpoint_;
+  agent::CommandSender command_sender_;
+  RoutedShards routed_;
   quota::QuotaTransfers transfers_;
   QuotaUsage quota_usage_;
   CapacityTracker capacities_;
   placement::EvictionBudget eviction_budget_;
   std::vector<wire::QuotaTransfer> asked_transfers_;
-  std::optional<wire::UnassignedMachine> unassigned_machine_;
-  int sends_ = 0;  // commands under way
   double next_place_ = 0;
   bool placement_requested_ = false;
 };
