--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -136,8 +136,9 @@
   Worker* worker = workers_.find(name);
   if (worker == nullptr) return;
   worker->probe.in_flight = false;
-  const auto heartbeat = done.status == 200 ? wire::parse_heartbeat(done.body) : std::nullopt;
-  if (heartbeat && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
+  const auto heartbeat = wire::parse_heartbeat(done.body);
+  const bool answered = done.status == 200 && heartbeat;
+  if (answered && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
   worker->probe.failed = ++worker->probe.failures >= kFailedProbes;
   if (const model::Machine* machine = replica_.machine(name)) zones_.sample(machine->zone);
 }
--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::api {
 
--- a/src/rooksill/api/job_lookup.cc
+++ b/src/rooksill/api/job_lookup.cc
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::api {
 
@@ -22,8 +23,9 @@
       client_.read(key, [this, request, id, key, found = std::move(found),
                          absent = std::move(absent)](const store::ReadResult& result) {
         --reads_under_way_;
-        if (!result.answered) return responder_.reply_retry(request);
-        if (result.found) replica_.apply(key, result.value, result.revision);
+        if (result.status == store::ReadStatus::kUnanswered) return responder_.reply_retry(request);
+        if (result.status == store::ReadStatus::kFound)
+          replica_.apply(key, result.value, result.revision);
         if (replica_.job(id) != nullptr) return found();
         absent();
       });
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -4,6 +4,7 @@
 
 #include "rooksill/model/job.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::api {
 
@@ -40,11 +41,11 @@
   const size_t count =
       std::min(polls_.size(), context_.settings.platform.state_txn_ops * kPollsPerTxnOp);
   const std::vector<Poll> group(polls_.begin(), polls_.begin() + static_cast<long>(count));
-  const bool sent = client_.txn(known_revisions(group), {},
-                                [this, group](const store::TransactionResult& result) {
-                                  pacer_.finished();
-                                  finish(group, result);
-                                });
+  const bool sent = client_.transact(known_revisions(group), {},
+                                     [this, group](const store::TransactionResult& result) {
+                                       pacer_.finished();
+                                       finish(group, result);
+                                     });
   if (!sent) return;
   pacer_.sent(now);
   polls_.erase(polls_.begin(), polls_.begin() + static_cast<long>(count));
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -8,6 +8,7 @@
 #include "rooksill/membership/upgrade.h"
 #include "rooksill/model/identifiers.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 #include "rooksill/wire/user_codec.h"
 
 namespace rooksill::api {
@@ -39,9 +40,8 @@
       pacer_(context.settings.platform, kRequestShare) {}
 
 void SubmissionQueue::submit(const runtime::Request& request) {
-  std::string error;
-  auto spec = wire::parse_job(request.body, error);
-  if (!spec) return responder_.reply_error(request.id, 400, error);
+  auto spec = wire::parse_job(request.body);
+  if (!spec) return responder_.reply_error(request.id, 400, spec.error().message());
   // A retry of an accepted job is answered with its state, whatever else would be said of it.
   if (replica_.job(spec->id) != nullptr) return polls_.poll(request.id, spec->id);
   if (!replica_.synced || replica_.types.empty()) return responder_.reply_retry(request.id);
--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::changes {
 
--- a/src/rooksill/changes/shard_update.cc
+++ b/src/rooksill/changes/shard_update.cc
@@ -6,6 +6,7 @@
 
 #include "rooksill/model/coordination.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::changes {
 
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -195,15 +195,15 @@
 
 // Passes on what the batch has changed in the replica.
 void Controller::process_replica_changes() {
-  if (!replica_.touched_jobs.empty()) {
+  if (!replica_.changes.touched_jobs.empty()) {
     owner_.request_placement();
     leader_.route_now();
   }
-  fleet_.measure(replica_.events);
-  replica_.events.clear();
-  replica_.touched_jobs.clear();
+  fleet_.measure(replica_.changes.events);
+  replica_.changes.events.clear();
+  replica_.changes.touched_jobs.clear();
   owner_.apply_store_changes();
-  replica_.touched_machines.clear();
+  replica_.changes.touched_machines.clear();
 }
 
 void Controller::broadcast_updates() {
@@ -276,8 +276,9 @@
 
 template <typename Message>
 void Controller::unpack_and_handle(const wire::Envelope& envelope) {
-  Message message;
-  if (wire::unpack(envelope.payload, message)) handle_message(envelope.label, std::move(message));
+  auto message = wire::unpack<Message>(envelope.payload);
+  if (message) return handle_message(envelope.label, std::move(*message));
+  context_.debug("peers", "from {}: {}", envelope.label, message.error().describe());
 }
 
 void Controller::handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat) {
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -3,6 +3,7 @@
 #include "rooksill/model/coordination.h"
 #include "rooksill/wire/controller_messages.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::controller {
 
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -37,8 +37,8 @@
 void CloudInventory::on_response(const runtime::CallDone& done) {
   request_under_way_ = false;
   const auto& platform = context_.settings.platform;
-  const auto page = done.status == 200 ? wire::parse_list(done.body) : std::nullopt;
-  if (!page) {
+  const auto page = wire::parse_list(done.body);
+  if (done.status != 200 || !page) {
     next_request_ = context_.now.steady + platform.report_s / 2;
     return;
   }
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -8,6 +8,7 @@
 
 #include "rooksill/fleet/free_space.h"
 #include "rooksill/model/resources.h"
+#include "rooksill/wire/names.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::fleet {
--- a/src/rooksill/fleet/machine_catalog.cc
+++ b/src/rooksill/fleet/machine_catalog.cc
@@ -7,6 +7,7 @@
 #include "rooksill/model/value_sizes.h"
 #include "rooksill/wire/cloud_codec.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::fleet {
 
@@ -33,10 +34,11 @@
 
 void MachineCatalog::on_response(const runtime::CallDone& done) {
   request_under_way_ = false;
-  const auto types = done.status == 200 ? wire::parse_catalog(done.body) : std::nullopt;
+  const auto types = wire::parse_catalog(done.body);
+  const bool answered = done.status == 200 && types;
   const double report = context_.settings.platform.report_s;
-  next_request_ = context_.now.steady + (types ? kRefreshReports * report : report / 3);
-  if (types) store_types(*types);
+  next_request_ = context_.now.steady + (answered ? kRefreshReports * report : report / 3);
+  if (answered) store_types(*types);
 }
 
 void MachineCatalog::store_types(const std::vector<model::MachineType>& types) {
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -10,6 +10,7 @@
 #include "rooksill/model/identifiers.h"
 #include "rooksill/model/value_sizes.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::fleet {
 
--- a/src/rooksill/fleet/machine_review.cc
+++ b/src/rooksill/fleet/machine_review.cc
@@ -24,7 +24,7 @@
   if (failed_to_boot(machine, status)) return "never came up";
   const bool owner_suspect = suspect_partitions.count(machine.partition) != 0;
   if (status.silent && !owner_suspect && silent_.claim_release(machine)) return "silent";
-  if (status.bad) return "fails every task";
+  if (status.faulty) return "fails every task";
   if (status.termination_notice && status.tasks == 0) return "to be taken, and empty";
   if (status.draining && returns_.is_draining(machine.name) && status.tasks == 0) return "idle";
   return nullptr;
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -86,7 +86,7 @@
       continue;
     }
     const wire::MachineStatus& status = found->second;
-    if (status.bad || status.silent || status.termination_notice) continue;
+    if (status.faulty || status.silent || status.termination_notice) continue;
     ++state.rented;
     state.busy += status.load;
     const double age = context_.now.wall - machine->rented;
--- a/src/rooksill/fleet/rentals.cc
+++ b/src/rooksill/fleet/rentals.cc
@@ -76,7 +76,7 @@
 
 bool Rentals::take_machines(const RentalRequest& request, const runtime::CallDone& done) {
   if (done.status != 200) return false;
-  const std::optional<std::vector<std::string>> names = wire::parse_rented(done.body);
+  const auto names = wire::parse_rented(done.body);
   if (!names) return false;
   lists_.add(*names, request.offer, request.partition);
   if (!names->empty()) capacity_.record_supply(request.offer);
--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -1,16 +1,15 @@
 #include "rooksill/leader/election.h"
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
 #include <utility>
 
 #include "rooksill/model/identifiers.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
+#include "rooksill/wire/store_protocol_codec.h"
 
 namespace rooksill::leader {
 
-using nlohmann::json;
-
 namespace {
 constexpr double kTrustedShareOfLease = 0.9;  // the rest covers the drift of clocks
 constexpr double kRequestTimeout = 1;         // seconds
@@ -104,32 +103,32 @@
   const int ttl_ms = static_cast<int>(std::clamp(request.ttl_s * 1000, kMinTtlMs, kMaxTtlMs));
   next_campaign_ = request.sent_at + request.ttl_s / kCampaignsPerTtl +
                    context_.uniform(0, request.ttl_s / kCampaignJitterPerTtl);
-  const bool sent = client_.raw(
-      "POST", "/grants", json{{"ttl_ms", ttl_ms}}.dump(), kRequestTimeout,
+  const bool sent = client_.request(
+      "POST", wire::kLeasesPath, wire::encode_lease_request(ttl_ms), kRequestTimeout,
       [this, request](const runtime::CallDone& answer) { on_lease_granted(answer, request); });
   if (sent) state_ = State::kCampaigning;
 }
 
 void Election::on_lease_granted(const runtime::CallDone& answer, const LeaseRequest& request) {
-  const json body = answer.status == 200 ? json::parse(answer.body, nullptr, false) : json();
-  const bool granted =
-      body.is_object() && body.contains("hold") && body["hold"].is_number_unsigned();
+  const auto lease_id = wire::decode_new_lease(answer.body);
+  const bool granted = answer.status == 200 && lease_id;
   const bool other_leads = replica_.leader.revision != model::kNoRevision &&
                            replica_.leader.label != context_.settings.platform.label;
   if (!granted || other_leads) {
     state_ = State::kFollower;
     return;
   }
-  write_leader_key(body["hold"], request);
+  write_leader_key(*lease_id, request);
 }
 
 void Election::write_leader_key(uint64_t lease_id, const LeaseRequest& request) {
   const uint64_t term = replica_.term + 1;
-  const json leader{
-      {"h", context_.settings.platform.label}, {"i", context_.incarnation}, {"t", term}};
+  const model::Leadership leader{model::kNoRevision, context_.settings.platform.label,
+                                 context_.incarnation, term};
   const bool sent = committer_.commit(
       {{wire::kLeaderKey, replica_.leader.revision}, {wire::kTermKey, replica_.term_revision}},
-      {{wire::kLeaderKey, leader, lease_id}, {wire::kTermKey, json{{"t", term}}, 0}},
+      {{wire::kLeaderKey, wire::encode_leadership(leader), lease_id},
+       {wire::kTermKey, wire::encode_term(term), 0}},
       [this, lease_id, term, request](const store::TransactionResult& result) {
         state_ = State::kFollower;
         if (result.outcome == store::TransactionOutcome::kApplied)
@@ -156,12 +155,11 @@
 
 void Election::renew() {
   const LeaseRequest request{context_.now.steady, lease_ttl()};
-  renewal_pending_ =
-      client_.raw("POST", "/grants/" + std::to_string(lease_id_) + "/touch", "",
-                  request.ttl_s / kRenewalsPerTtl,
-                  [this, request, lease_id = lease_id_](const runtime::CallDone& answer) {
-                    on_renewed(answer, request, lease_id);
-                  });
+  renewal_pending_ = client_.request(
+      "POST", wire::lease_renewal_path(lease_id_), "", request.ttl_s / kRenewalsPerTtl,
+      [this, request, lease_id = lease_id_](const runtime::CallDone& answer) {
+        on_renewed(answer, request, lease_id);
+      });
 }
 
 void Election::on_renewed(const runtime::CallDone& answer, const LeaseRequest& request,
@@ -185,8 +183,8 @@
 }
 
 void Election::release_lease(uint64_t lease_id) {
-  client_.raw("DELETE", "/grants/" + std::to_string(lease_id), "", kRequestTimeout,
-              [](const runtime::CallDone&) {});
+  client_.request("DELETE", wire::lease_path(lease_id), "", kRequestTimeout,
+                  [](const runtime::CallDone&) {});
 }
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/job_finisher.cc
+++ b/src/rooksill/leader/job_finisher.cc
@@ -3,6 +3,7 @@
 #include "rooksill/model/job.h"
 #include "rooksill/store/client.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::leader {
 
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -8,6 +8,7 @@
 #include "rooksill/store/client.h"
 #include "rooksill/wire/controller_messages.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::leader {
 
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -66,7 +66,7 @@
 // ----------------------------------------------------------------------------------------
 
 void Router::route_touched_jobs() {
-  for (const auto& id : replica_.touched_jobs)
+  for (const auto& id : replica_.changes.touched_jobs)
     if (replica_.waiting_jobs.count(id) != 0) touched_jobs_.insert(id);
   if (touched_jobs_.empty()) return;
   route(touched_jobs_);
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -4,6 +4,7 @@
 #include <cstddef>
 #include <utility>
 
+#include "rooksill/wire/names.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::membership {
@@ -31,7 +32,7 @@
 }
 
 void Cancellations::collect() {
-  auto learned = std::exchange(replica_.cancelled, {});
+  auto learned = std::exchange(replica_.changes.cancelled, {});
   // What the first listing brings was there before any peer hears that this process knows the
   // store; a peer that counts on our word has asked the store since.
   if (!std::exchange(was_synced_, replica_.synced)) return;
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -46,8 +46,9 @@
 // --------------------------------------------------------------------------------------
 
 std::optional<wire::Envelope> Peers::receive(const std::string& bytes) {
-  wire::Envelope envelope;
-  if (!wire::unpack(bytes, envelope) || !known_version(envelope)) return std::nullopt;
+  auto unpacked = wire::unpack<wire::Envelope>(bytes);
+  if (!unpacked || !known_version(*unpacked)) return std::nullopt;
+  wire::Envelope& envelope = *unpacked;
   auto found = peers_.find(envelope.label);
   if (found == peers_.end()) return std::nullopt;
   Peer& peer = found->second;
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -8,6 +8,7 @@
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/identifiers.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::membership {
 
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -28,7 +28,7 @@
   status.up = worker.reported;
   status.draining = availability.draining;
   status.silent = worker.silent;
-  status.bad = worker.failures.faulty;
+  status.faulty = worker.failures.faulty;
   status.termination_notice = worker.terminates_at.has_value();
   if (availability.takes_tasks) {
     status.cpus_free = capacity.free.cpus;
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -9,6 +9,7 @@
 #include "rooksill/changes/task_change.h"
 #include "rooksill/model/machine.h"
 #include "rooksill/placement/ranking.h"
+#include "rooksill/wire/names.h"
 #include "rooksill/wire/store_codec.h"
 
 namespace rooksill::partition {
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -6,7 +6,9 @@
 #include <utility>
 
 #include "rooksill/quota/quota_shares.h"
+#include "rooksill/wire/names.h"
 #include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/store_keys.h"
 
 namespace rooksill::quota {
 
@@ -28,7 +30,7 @@
 void QuotaTransfers::start(const wire::QuotaTransfer& request, const model::QuotaShare& unused) {
   const int partitions = static_cast<int>(replica_.leases.size());
   if (request.to < 0 || request.to >= partitions || request.to == request.from) return;
-  if (!wire::valid_quota_key(request.team) || transfers_.count(request.team) != 0) return;
+  if (!wire::valid_team_name(request.team) || transfers_.count(request.team) != 0) return;
   if (request.revision != division_revision(replica_, request.team)) return;
   Transfer transfer;
   transfer.from = request.from;
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -1,6 +1,7 @@
-// Transactions whose result goes straight into the replica and out to the other controllers.
+// Transactions whose result goes straight into the replica and on to the other controllers.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -15,12 +16,13 @@
 
 namespace rooksill::store {
 
+// Spares this controller and the others the wait for the next watch.
 class Committer {
  public:
   Committer(runtime::Context& ctx, Replica& replica, Client& client)
-      : ctx_(ctx), replica_(replica), client_(client) {}
+      : context_(ctx), replica_(replica), client_(client) {}
 
-  // As Client::txn; what was applied is in the replica before `done` runs.
+  // As Client::transact; what was applied is in the replica before `done` runs.
   bool commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
               Client::TransactionDone done);
 
@@ -28,20 +30,29 @@
   // after a conflict: nothing is decided about these keys in the meantime.
   void refresh(std::vector<std::string> keys, std::function<void()> done);
 
+  // Sends what is due of the reads.
   void tick();
+
+  // What was written since the last call, for the other controllers.
   std::vector<wire::Update> take_updates() { return std::exchange(updates_, {}); }
 
  private:
+  // The keys of one refresh() are read one after the other.
   struct Refresh {
     std::vector<std::string> keys;
-    size_t answered = 0;
-    bool busy = false;
-    double next = 0;
     std::function<void()> done;
+    size_t answered = 0;     // of the keys
+    bool reading = false;    // the next key
+    double next_try_at = 0;  // by the steady clock
   };
+
+  void record_writes(const std::vector<Write>& writes, model::Revision revision);
   void advance(uint64_t id);
+  void on_read(uint64_t id, const std::string& key, const ReadResult& read);
+  // Whether the answer settles what the key is now.
+  bool usable(const std::string& key, const ReadResult& read) const;
 
-  runtime::Context& ctx_;
+  runtime::Context& context_;
   Replica& replica_;
   Client& client_;
   std::vector<wire::Update> updates_;
--- /dev/null
+++ b/src/rooksill/store/replica_jobs.cc
@@ -0,0 +1,182 @@
+// The replica's jobs and the states of their tasks.
+#include <algorithm>
+#include <utility>
+
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/store_codec.h"
+
+namespace rooksill::store {
+
+using nlohmann::json;
+
+size_t shard_count(const model::Job& job) {
+  return (job.spec.tasks + job.tasks_per_shard - 1) / job.tasks_per_shard;
+}
+
+size_t shard_size(const model::Job& job, uint32_t shard) {
+  return std::min<size_t>(job.tasks_per_shard, job.spec.tasks - shard * job.tasks_per_shard);
+}
+
+bool Replica::apply_job(const std::string& id, const json& value, model::Revision revision) {
+  model::Job* known = job(id);
+  if (known != nullptr && revision <= known->revision) return false;
+  auto fresh = wire::decode_job(value);
+  if (!fresh) return false;
+  const model::JobEnd end = fresh->end;
+  if (end != model::JobEnd::kDone && fresh->spec.id != id) return false;
+  if (known == nullptr)
+    known = &add_job(id, std::move(*fresh));
+  else
+    record_end(*known, end);  // only the end of a job changes after its creation
+  known->revision = revision;
+  if (known->end == model::JobEnd::kDone) finish_tasks(*known);
+  touch(*known);
+  return true;
+}
+
+model::Job& Replica::add_job(const std::string& id, model::Job fresh) {
+  model::JobEnd end = fresh.end;
+  const bool cancelled = cancelled_before_record_.erase(id) != 0;
+  if (cancelled && end == model::JobEnd::kOpen) end = model::JobEnd::kCancelled;
+  fresh.end = model::JobEnd::kOpen;
+  fresh.spec.id = id;
+  fresh.image = image_number(fresh.spec.image);
+  if (end != model::JobEnd::kDone) {
+    fresh.shards.resize(shard_count(fresh));
+    for (uint32_t shard = 0; shard < fresh.shards.size(); ++shard)
+      fresh.shards[shard].tasks.resize(shard_size(fresh, shard));
+  }
+  model::Job& added = jobs.emplace(id, std::move(fresh)).first->second;
+  record_end(added, end);
+  return added;
+}
+
+// An end is final: a record from before it, that comes late, does not take it back.
+void Replica::record_end(model::Job& job, model::JobEnd end) {
+  if (end == job.end || job.over()) return;
+  job.end = end;
+  if (end == model::JobEnd::kCancelled) changes.cancelled.push_back(job.spec.id);
+}
+
+void Replica::record_cancelled(const std::string& id) {
+  model::Job* known = job(id);
+  if (known == nullptr) {
+    cancelled_before_record_.insert(id);
+    return;
+  }
+  if (known->over()) return;
+  record_end(*known, model::JobEnd::kCancelled);
+  touch(*known);
+}
+
+// The job is done. All its tasks are done, whatever was known of them; their shards are of no more
+// use.
+void Replica::finish_tasks(model::Job& job) {
+  for (uint32_t shard = 0; shard < job.shards.size(); ++shard) {
+    const std::vector<model::TaskState>& tasks = job.shards[shard].tasks;
+    for (uint32_t i = 0; i < tasks.size(); ++i) {
+      const model::TaskState& task = tasks[i];
+      if (task.done) continue;
+      changes.events.push_back({TaskEvent::Kind::kDone, job.spec.id, task.machine});
+      const model::TaskRef ref{job.spec.id, shard * job.tasks_per_shard + i};
+      if (!task.machine.empty()) remove_load(job, ref, task.machine);
+    }
+  }
+  job.shards.clear();
+  job.shards.shrink_to_fit();
+  job.done = job.spec.tasks;
+  job.placed = 0;
+}
+
+void Replica::touch(const model::Job& job) {
+  index(job);
+  changes.touched_jobs.insert(job.spec.id);
+  for (const auto& shard : job.shards)
+    for (const auto& task : shard.tasks)
+      if (!task.machine.empty()) changes.touched_machines.insert(task.machine);
+}
+
+Replica::ShardPlace Replica::find_shard(const wire::StoreKey& key) {
+  model::Job* known = job(key.name);
+  if (known == nullptr || key.shard >= known->shards.size()) return {};
+  return {known, &known->shards[key.shard]};
+}
+
+bool Replica::apply_shard(const wire::StoreKey& key, const json& value, model::Revision revision) {
+  const ShardPlace place = find_shard(key);
+  if (place.shard == nullptr || revision <= place.shard->revision) return false;
+  auto tasks = wire::decode_shard(value, shard_size(*place.job, key.shard));
+  if (!tasks) return false;
+  const uint32_t first_task = key.shard * place.job->tasks_per_shard;
+  replace_tasks(*place.job, *place.shard, first_task, std::move(*tasks), revision);
+  return true;
+}
+
+void Replica::replace_tasks(model::Job& job, model::TaskShard& shard, uint32_t first_task,
+                            std::vector<model::TaskState> tasks, model::Revision revision) {
+  for (uint32_t i = 0; i < tasks.size(); ++i) {
+    const model::TaskRef ref{job.spec.id, first_task + i};
+    if (shard.tasks[i] != tasks[i]) replace_task(job, ref, shard.tasks[i], tasks[i]);
+  }
+  shard.tasks = std::move(tasks);
+  shard.revision = revision;
+  recount(job, shard);
+  changes.touched_jobs.insert(job.spec.id);
+}
+
+void Replica::replace_task(const model::Job& job, const model::TaskRef& ref,
+                           const model::TaskState& was, const model::TaskState& is) {
+  const bool moved = was.machine != is.machine;
+  if (moved && !was.machine.empty()) {
+    remove_load(job, ref, was.machine);
+    if (!is.done && job.over())
+      changes.events.push_back({TaskEvent::Kind::kLeft, ref.job, was.machine});
+  }
+  if (moved && !is.machine.empty()) {
+    add_load(job, ref, is.machine);
+    if (is.attempt == 1)
+      changes.events.push_back({TaskEvent::Kind::kFirstPlaced, ref.job, is.machine});
+  }
+  if (is.done && !was.done)
+    changes.events.push_back({TaskEvent::Kind::kDone, ref.job, was.machine});
+}
+
+void Replica::add_load(const model::Job& job, const model::TaskRef& ref,
+                       const std::string& machine) {
+  changes.touched_machines.insert(machine);
+  loads_.add(job, ref, machine);
+}
+
+void Replica::remove_load(const model::Job& job, const model::TaskRef& ref,
+                          const std::string& machine) {
+  changes.touched_machines.insert(machine);
+  loads_.remove(job, ref, machine);
+}
+
+void Replica::recount(model::Job& job, model::TaskShard& shard) {
+  job.done -= shard.done;
+  job.placed -= shard.placed;
+  shard.done = shard.placed = 0;
+  for (const auto& task : shard.tasks) {
+    if (task.done)
+      ++shard.done;
+    else if (!waits(task))
+      ++shard.placed;
+  }
+  job.done += shard.done;
+  job.placed += shard.placed;
+  index(job);
+}
+
+void Replica::index(const model::Job& job) {
+  auto set_member = [&](std::set<std::string>& ids, bool member) {
+    if (member)
+      ids.insert(job.spec.id);
+    else
+      ids.erase(job.spec.id);
+  };
+  set_member(waiting_jobs, !job.over() && unplaced(job) > 0);
+  set_member(finished_jobs, !job.over() && job.finished_tasks());
+}
+
+}  // namespace rooksill::store
--- /dev/null
+++ b/src/rooksill/store/replica_machines.cc
@@ -0,0 +1,80 @@
+// The replica's lists of machines, by partition and page.
+#include <nlohmann/json.hpp>
+#include <utility>
+
+#include "rooksill/store/replica.h"
+#include "rooksill/wire/store_codec.h"
+
+namespace rooksill::store {
+
+using nlohmann::json;
+
+namespace {
+constexpr int kMaxPages = 1000;  // of a partition's list: no controller writes more
+}
+
+bool Replica::apply_machines(int partition, int page, const json& value, model::Revision revision) {
+  const auto number = static_cast<size_t>(partition);
+  if (number >= pages.size() || page >= kMaxPages) return false;
+  std::vector<MachinePage>& list = pages[number];
+  const auto page_number = static_cast<size_t>(page);
+  if (list.size() <= page_number) list.resize(page_number + 1);
+  if (revision <= list[page_number].revision) return false;
+  const auto listed = wire::decode_machines(value);
+  if (!listed) return false;
+  replace_page(partition, page, *listed, revision);
+  return true;
+}
+
+void Replica::replace_page(int partition, int page,
+                           const std::map<std::string, model::Machine>& listed,
+                           model::Revision revision) {
+  std::vector<std::string> changed = forget_unlisted(partition, page, listed);
+  MachinePage& known_page = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
+  known_page.revision = revision;
+  known_page.names.clear();
+  for (const auto& [name, entry] : listed) {
+    model::Machine machine = entry;
+    machine.partition = partition;
+    machine.page = page;
+    known_page.names.insert(name);
+    auto [known, added] = machines.try_emplace(name, std::move(machine));
+    if (added)
+      changed.push_back(name);
+    else
+      known->second.page = page;
+  }
+  for (const auto& name : changed) {
+    changes.touched_machines.insert(name);
+    recount_tasks_on(name);
+  }
+}
+
+std::vector<std::string> Replica::forget_unlisted(
+    int partition, int page, const std::map<std::string, model::Machine>& listed) {
+  std::vector<std::string> forgotten;
+  const MachinePage& known_page = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
+  for (const auto& name : known_page.names) {
+    if (listed.count(name) != 0) continue;
+    // A page that was split: the machine is on another page by the same transaction, which writes
+    // that page first.
+    const model::Machine* known = machine(name);
+    if (known != nullptr && (known->partition != partition || known->page != page)) continue;
+    machines.erase(name);
+    forgotten.push_back(name);
+  }
+  return forgotten;
+}
+
+// A machine came or went: its tasks are placed, or are to be placed again.
+void Replica::recount_tasks_on(const std::string& machine) {
+  std::set<model::ShardId> shards;
+  for (const auto& ref : placed_on(machine)) shards.insert(jobs.at(ref.job).shard_of(ref.index));
+  for (const auto& id : shards) {
+    model::Job& job = jobs.at(id.job);
+    recount(job, job.shards[id.index]);
+    changes.touched_jobs.insert(id.job);
+  }
+}
+
+}  // namespace rooksill::store
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -1,66 +1,78 @@
 #include "rooksill/wire/cloud_codec.h"
 
 #include <nlohmann/json.hpp>
-#include <utility>
 
 #include "rooksill/model/machine.h"
+#include "rooksill/wire/json_fields.h"
 
 namespace rooksill::wire {
 
 using nlohmann::json;
 
-std::optional<std::vector<model::MachineType>> parse_catalog(const std::string& body) try {
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) return std::nullopt;
-  std::vector<model::MachineType> out;
-  for (const auto& b : j.at("builds")) {
-    model::MachineType t;
-    t.name = b.at("label").get<std::string>();
-    t.capacity.cpus = b.at("cores").get<double>();
-    t.capacity.gpus = b.value("gpus", 0.0);
-    t.capacity.memory_gb = b.at("memory_gb").get<double>();
-    t.cache_gb = b.value("local_gb", 0.0);
-    t.fetch_gb_per_s = b.value("pull_gb_per_s", 1.0);
-    t.price = b.at("hourly").get<double>();
-    t.spot_price = b.value("market_price", t.price);
-    t.boot_s = b.at("ready_s").get<double>();
-    t.zones = b.at("wards").get<std::vector<std::string>>();
-    out.push_back(std::move(t));
-  }
-  return out;
-} catch (const json::exception&) {
-  return std::nullopt;
+namespace {
+
+// Decodes the object that a body holds.
+template <typename Read>
+auto decode_body(const std::string& body, Read read) {
+  return decode_with(Interface::kCloud, [&] { return read(parse_object(body)); });
+}
+
+model::MachineType read_type(const json& value) {
+  model::MachineType type;
+  type.name = required<std::string>(value, "label");
+  type.capacity.cpus = required<double>(value, "cores");
+  type.capacity.gpus = field_or<double>(value, "gpus", 0);
+  type.capacity.memory_gb = required<double>(value, "memory_gb");
+  type.cache_gb = field_or<double>(value, "local_gb", 0);
+  type.fetch_gb_per_s = field_or<double>(value, "pull_gb_per_s", 1);
+  type.price = required<double>(value, "hourly");
+  type.spot_price = field_or<double>(value, "market_price", type.price);
+  type.boot_s = required<double>(value, "ready_s");
+  type.zones = required<std::vector<std::string>>(value, "wards");
+  return type;
+}
+
+std::vector<model::MachineType> read_catalog(const json& value) {
+  std::vector<model::MachineType> types;
+  for (const auto& type : member(value, "builds")) types.push_back(read_type(type));
+  return types;
+}
+
+ListedMachine read_machine(const json& value) {
+  ListedMachine machine;
+  machine.name = required<std::string>(value, "id");
+  machine.address = field_or<std::string>(value, "address", "");
+  machine.type = required<std::string>(value, "build");
+  machine.zone = required<std::string>(value, "ward");
+  machine.spot = required<bool>(value, "loaners");
+  const auto status = required<std::string>(value, "status");
+  machine.failed = status == "failed";
+  machine.running = status == "running";
+  machine.age_s = field_or<double>(value, "held_s", 0);
+  return machine;
 }
 
-std::optional<ListPage> parse_list(const std::string& body) try {
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) return std::nullopt;
-  ListPage page;
-  page.more = j.value("truncated", false);
-  for (const auto& p : j.at("perches")) {
-    ListedMachine m;
-    m.name = p.at("id").get<std::string>();
-    m.address = p.value("address", "");
-    m.type = p.at("build").get<std::string>();
-    m.zone = p.at("ward").get<std::string>();
-    m.spot = p.at("loaners").get<bool>();
-    const auto status = p.at("status").get<std::string>();
-    m.failed = status == "failed";
-    m.running = status == "running";
-    m.age_s = p.value("held_s", 0.0);
-    page.machines.push_back(std::move(m));
-  }
+MachineListPage read_list(const json& value) {
+  MachineListPage page;
+  page.more = field_or<bool>(value, "truncated", false);
+  for (const auto& machine : member(value, "perches"))
+    page.machines.push_back(read_machine(machine));
   return page;
-} catch (const json::exception&) {
-  return std::nullopt;
 }
 
-std::optional<std::vector<std::string>> parse_rented(const std::string& body) try {
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) return std::nullopt;
-  return j.at("perches").get<std::vector<std::string>>();
-} catch (const json::exception&) {
-  return std::nullopt;
+}  // namespace
+
+Decoded<std::vector<model::MachineType>> parse_catalog(const std::string& body) {
+  return decode_body(body, read_catalog);
+}
+
+Decoded<MachineListPage> parse_list(const std::string& body) {
+  return decode_body(body, read_list);
+}
+
+Decoded<std::vector<std::string>> parse_rented(const std::string& body) {
+  return decode_body(
+      body, [](const json& value) { return required<std::vector<std::string>>(value, "perches"); });
 }
 
 std::string encode_rental(const std::string& request, const std::string& type,
--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -1,28 +1,48 @@
-// The wire between controllers and the cloud.
+// Messages between controllers and the cloud provider.
+//
+//   catalogue:  builds -> machine types
+//   a type:     label -> name, cores -> CPUs, gpus, memory_gb, local_gb -> cache GB,
+//               pull_gb_per_s -> fetch GB/s, hourly -> price, market_price -> spot price,
+//               ready_s -> boot s, wards -> zones
+//   list:       perches -> machines, truncated -> more
+//   a machine:  id -> name, address, build -> type, ward -> zone, loaners -> spot,
+//               status -> failed or running, held_s -> age s
+//   rental:     hire -> request, build -> type, ward -> zone, loaners -> spot, how_many -> count
+//   rented and release:  perches -> names of machines
 #pragma once
 
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "rooksill/model/machine.h"
+#include "rooksill/wire/decoded.h"
 
 namespace rooksill::wire {
 
+// A machine that the cloud says is rented.
 struct ListedMachine {
-  std::string name, address, type, zone;
-  bool spot = false, failed = false, running = false;
-  double age_s = 0;
+  std::string name;
+  std::string address;  // empty: none yet
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  bool failed = false;   // with neither this nor `running`: it is booting
+  bool running = false;  // never together with `failed`
+  double age_s = 0;      // since it was rented
 };
 
-struct ListPage {
+// A part of the list of rented machines.
+struct MachineListPage {
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool more = false;  // the list goes on after the last of these
 };
 
-std::optional<std::vector<model::MachineType>> parse_catalog(const std::string& body);
-std::optional<ListPage> parse_list(const std::string& body);
-std::optional<std::vector<std::string>> parse_rented(const std::string& body);
+Decoded<std::vector<model::MachineType>> parse_catalog(const std::string& body);
+Decoded<MachineListPage> parse_list(const std::string& body);
+// The names of the machines that a request rented.
+Decoded<std::vector<std::string>> parse_rented(const std::string& body);
+
+// `request` names the request: the cloud answers a repeated one as it answered it the first time.
 std::string encode_rental(const std::string& request, const std::string& type,
                           const std::string& zone, bool spot, int count);
 std::string encode_release(const std::vector<std::string>& names);
--- a/src/rooksill/wire/store_codec.cc
+++ b/src/rooksill/wire/store_codec.cc
@@ -1,95 +1,148 @@
 #include "rooksill/wire/store_codec.h"
 
-#include <algorithm>
-#include <cctype>
-#include <charconv>
 #include <nlohmann/json.hpp>
 #include <tuple>
 #include <utility>
 
-#include "rooksill/model/coordination.h"
-#include "rooksill/model/job.h"
-#include "rooksill/model/machine.h"
-#include "rooksill/model/value_sizes.h"
+#include "rooksill/wire/json_fields.h"
 
 namespace rooksill::wire {
 
 using nlohmann::json;
 
-std::string job_key(const std::string& id) { return kPrefix + "j/" + id; }
-std::string shard_key(const std::string& id, uint32_t shard) {
-  return kPrefix + "t/" + id + "/" + std::to_string(shard);
+namespace {
+
+constexpr int kPlaceNone = 0;   // the task is on no machine
+constexpr int kPlaceDone = -1;  // the task is done
+
+template <typename Decode>
+auto decode_record(Decode decode) {
+  return decode_with(Interface::kStoreRecord, decode);
 }
-std::string lease_key(int partition) { return kPrefix + "l/" + std::to_string(partition); }
-std::string machines_key(int partition, int page) {
-  return kPrefix + "m/" + std::to_string(partition) + "/" + std::to_string(page);
+
+model::JobSpec read_spec(const json& value) {
+  model::JobSpec spec;
+  spec.id = required<std::string>(value, "id");
+  spec.job_class = required<std::string>(value, "cl");
+  spec.team = required<std::string>(value, "tm");
+  spec.shape = static_cast<model::Shape>(required<int>(value, "sh"));
+  spec.priority = static_cast<model::Priority>(required<int>(value, "pr"));
+  spec.tasks = required<uint32_t>(value, "n");
+  spec.request.cpus = required<double>(value, "c");
+  spec.request.gpus = required<double>(value, "g");
+  spec.request.memory_gb = required<double>(value, "m");
+  spec.image = required<std::string>(value, "im");
+  spec.image_gb = required<double>(value, "ig");
+  spec.types = required<std::vector<std::string>>(value, "ty");
+  spec.zone = required<std::string>(value, "z");
+  spec.one_zone = required<bool>(value, "oz");
+  spec.spread = required<bool>(value, "sp");
+  spec.spot = required<bool>(value, "st");
+  spec.estimate_s = required<double>(value, "e");
+  spec.checkpoint_s = required<double>(value, "ck");
+  spec.save_s = required<double>(value, "sv");
+  if (!member(value, "d").is_null()) spec.deadline_s = required<double>(value, "d");
+  return spec;
 }
-std::string liveness_key(const std::string& label) { return kPrefix + "n/" + label; }
-std::string type_key(const std::string& name) { return kPrefix + "c/" + name; }
 
-std::string quota_key(const std::string& team) { return kPrefix + "q/" + team; }
+model::Job read_job(const json& value) {
+  model::Job job;
+  const int end = required<int>(value, "e");
+  if (end < int(model::JobEnd::kOpen) || end > int(model::JobEnd::kDone))
+    throw FieldError{"e", "no such end", std::to_string(end)};
+  job.end = static_cast<model::JobEnd>(end);
+  if (job.end == model::JobEnd::kDone) {
+    job.spec.tasks = required<uint32_t>(value, "n");
+    return job;
+  }
+  job.spec = read_spec(member(value, "s"));
+  job.submitted = required<double>(value, "t");
+  job.tasks_per_shard = required<uint32_t>(value, "k");
+  if (job.tasks_per_shard == 0) throw FieldError{"k", "is zero", ""};
+  return job;
+}
 
-std::string version_key(const std::string& label) { return kPrefix + "v/" + label; }
+std::vector<model::TaskState> read_shard(const json& value, size_t count) {
+  const json& names = member(value, "m");
+  const json& places = member(value, "p");
+  const json& attempts = member(value, "a");
+  if (!places.is_array() || places.size() != count)
+    throw FieldError{"p", "not " + std::to_string(count) + " places", ""};
+  if (attempts.size() != count)
+    throw FieldError{"a", "not " + std::to_string(count) + " attempts", ""};
+  std::vector<model::TaskState> tasks(count);
+  for (size_t i = 0; i < count; ++i) {
+    const int place = convert<int>(places[i], "p");
+    tasks[i].attempt = convert<uint64_t>(attempts[i], "a");
+    tasks[i].done = place < kPlaceNone;
+    if (place > kPlaceNone)
+      tasks[i].machine = convert<std::string>(names.at(static_cast<size_t>(place) - 1), "m");
+  }
+  return tasks;
+}
 
-bool is_machines_key(const std::string& key) { return key.rfind(kPrefix + "m/", 0) == 0; }
+std::map<std::string, model::Machine> read_machines(const json& value) {
+  std::map<std::string, model::Machine> machines;
+  for (const auto& group : member(value, "g")) {
+    model::Machine machine;
+    machine.type = group.at(0);
+    machine.zone = group.at(1);
+    machine.spot = group.at(2).get<int>() != 0;
+    for (const auto& entry : group.at(3)) {
+      machine.name = entry.at(0);
+      machine.rented = static_cast<double>(entry.at(1).get<int64_t>());
+      machines[machine.name] = machine;
+    }
+  }
+  return machines;
+}
 
-bool valid_quota_key(const std::string& team) {
-  return !team.empty() && team.size() <= model::kMaxName &&
-         std::all_of(team.begin(), team.end(), [](unsigned char c) {
-           return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
-         });
+std::vector<model::QuotaShare> read_quota_division(const json& value, size_t partitions) {
+  const json& cpus = member(value, "c");
+  const json& gpus = member(value, "g");
+  if (!cpus.is_array() || cpus.size() != partitions)
+    throw FieldError{"c", "not a share for each partition", ""};
+  if (!gpus.is_array() || gpus.size() != partitions)
+    throw FieldError{"g", "not a share for each partition", ""};
+  std::vector<model::QuotaShare> shares(partitions);
+  for (size_t partition = 0; partition < partitions; ++partition) {
+    model::QuotaShare& share = shares[partition];
+    share = {convert<double>(cpus[partition], "c"), convert<double>(gpus[partition], "g")};
+    if (!(share.cpus >= 0)) throw FieldError{"c", "negative share", ""};
+    if (!(share.gpus >= 0)) throw FieldError{"g", "negative share", ""};
+  }
+  return shares;
 }
 
-json encode_spec(const model::JobSpec& s) {
-  return json{{"id", s.id},
-              {"cl", s.job_class},
-              {"tm", s.team},
-              {"sh", int(s.shape)},
-              {"pr", int(s.priority)},
-              {"n", s.tasks},
-              {"c", s.request.cpus},
-              {"g", s.request.gpus},
-              {"m", s.request.memory_gb},
-              {"im", s.image},
-              {"ig", s.image_gb},
-              {"ty", s.types},
-              {"z", s.zone},
-              {"oz", s.one_zone},
-              {"sp", s.spread},
-              {"st", s.spot},
-              {"e", s.estimate_s},
-              {"ck", s.checkpoint_s},
-              {"sv", s.save_s},
-              {"d", s.deadline_s ? json(*s.deadline_s) : json(nullptr)}};
+}  // namespace
+
+json encode_spec(const model::JobSpec& spec) {
+  return json{{"id", spec.id},
+              {"cl", spec.job_class},
+              {"tm", spec.team},
+              {"sh", int(spec.shape)},
+              {"pr", int(spec.priority)},
+              {"n", spec.tasks},
+              {"c", spec.request.cpus},
+              {"g", spec.request.gpus},
+              {"m", spec.request.memory_gb},
+              {"im", spec.image},
+              {"ig", spec.image_gb},
+              {"ty", spec.types},
+              {"z", spec.zone},
+              {"oz", spec.one_zone},
+              {"sp", spec.spread},
+              {"st", spec.spot},
+              {"e", spec.estimate_s},
+              {"ck", spec.checkpoint_s},
+              {"sv", spec.save_s},
+              {"d", spec.deadline_s ? json(*spec.deadline_s) : json(nullptr)}};
 }
 
-bool decode_spec(const json& v, model::JobSpec& s) try {
-  s.id = v.at("id");
-  s.job_class = v.at("cl");
-  s.team = v.at("tm");
-  s.shape = static_cast<model::Shape>(v.at("sh").get<int>());
-  s.priority = static_cast<model::Priority>(v.at("pr").get<int>());
-  s.tasks = v.at("n");
-  s.request.cpus = v.at("c");
-  s.request.gpus = v.at("g");
-  s.request.memory_gb = v.at("m");
-  s.image = v.at("im");
-  s.image_gb = v.at("ig");
-  s.types = v.at("ty").get<std::vector<std::string>>();
-  s.zone = v.at("z");
-  s.one_zone = v.at("oz");
-  s.spread = v.at("sp");
-  s.spot = v.at("st");
-  s.estimate_s = v.at("e");
-  s.checkpoint_s = v.at("ck");
-  s.save_s = v.at("sv");
-  if (!v.at("d").is_null()) s.deadline_s = v.at("d").get<double>();
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<model::JobSpec> decode_spec(const json& value) {
+  return decode_record([&] { return read_spec(value); });
 }
 
-// Of a job that is done only what its answers need is kept.
 json encode_job(const model::Job& job) {
   if (job.end == model::JobEnd::kDone) return json{{"e", int(job.end)}, {"n", job.spec.tasks}};
   return json{{"s", encode_spec(job.spec)},
@@ -98,206 +151,165 @@
               {"k", job.tasks_per_shard}};
 }
 
-bool decode_job(const json& v, model::Job& job) try {
-  const int end = v.at("e").get<int>();
-  if (end < int(model::JobEnd::kOpen) || end > int(model::JobEnd::kDone)) return false;
-  job.end = static_cast<model::JobEnd>(end);
-  if (job.end == model::JobEnd::kDone) {
-    job.spec.tasks = v.at("n");
-    return true;
-  }
-  if (!decode_spec(v.at("s"), job.spec)) return false;
-  job.submitted = v.at("t");
-  job.tasks_per_shard = v.at("k");
-  return job.tasks_per_shard > 0;
-} catch (const json::exception&) {
-  return false;
+Decoded<model::Job> decode_job(const json& value) {
+  return decode_record([&] { return read_job(value); });
 }
 
-// Machines are named once; a task has its machine's number, 0 for none and -1 once it is done.
+// Machines are named once, and tasks have numbers of those names.
 json encode_shard(const std::vector<model::TaskState>& tasks) {
   json names = json::array(), places = json::array(), attempts = json::array();
   std::map<std::string, int> numbers;
-  for (const auto& t : tasks) {
-    int place = t.done ? -1 : 0;
-    if (!t.done && !t.machine.empty()) {
-      auto [it, fresh] = numbers.emplace(t.machine, static_cast<int>(numbers.size()) + 1);
-      if (fresh) names.push_back(t.machine);
+  for (const auto& task : tasks) {
+    int place = task.done ? kPlaceDone : kPlaceNone;
+    if (!task.done && !task.machine.empty()) {
+      auto [it, added] = numbers.emplace(task.machine, static_cast<int>(numbers.size()) + 1);
+      if (added) names.push_back(task.machine);
       place = it->second;
     }
     places.push_back(place);
-    attempts.push_back(t.attempt);
+    attempts.push_back(task.attempt);
   }
   return json{{"m", std::move(names)}, {"p", std::move(places)}, {"a", std::move(attempts)}};
 }
 
-bool decode_shard(const json& v, size_t count, std::vector<model::TaskState>& tasks) try {
-  const json &names = v.at("m"), &places = v.at("p"), &attempts = v.at("a");
-  if (!places.is_array() || places.size() != count || attempts.size() != count) return false;
-  tasks.assign(count, {});
-  for (size_t i = 0; i < count; ++i) {
-    const int place = places[i].get<int>();
-    tasks[i].attempt = attempts[i].get<uint64_t>();
-    tasks[i].done = place < 0;
-    if (place > 0) tasks[i].machine = names.at(static_cast<size_t>(place) - 1);
-  }
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<std::vector<model::TaskState>> decode_shard(const json& value, size_t count) {
+  return decode_record([&] { return read_shard(value, count); });
 }
 
-json encode_lease(const model::PartitionLease& l) {
-  return json{{"h", l.owner}, {"i", l.incarnation}, {"t", l.fencing_token}};
+json encode_lease(const model::PartitionLease& lease) {
+  return json{{"h", lease.owner}, {"i", lease.incarnation}, {"t", lease.fencing_token}};
 }
 
-bool decode_lease(const json& v, model::PartitionLease& l) try {
-  l.owner = v.at("h");
-  l.incarnation = v.at("i");
-  l.fencing_token = v.at("t");
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<model::PartitionLease> decode_lease(const json& value) {
+  return decode_record([&] {
+    model::PartitionLease lease;
+    lease.owner = required<std::string>(value, "h");
+    lease.incarnation = required<uint64_t>(value, "i");
+    lease.fencing_token = required<model::FencingToken>(value, "t");
+    return lease;
+  });
 }
 
-json encode_liveness(const model::LivenessRecord& s) {
-  return json{{"i", s.incarnation},
-              {"u", s.suspects_itself},
-              {"f", s.meant_for},
-              {"q", s.silent},
-              {"d", s.unreachable_zones}};
-}
-
-bool decode_liveness(const json& v, model::LivenessRecord& s) try {
-  s.incarnation = v.at("i");
-  s.suspects_itself = v.at("u");
-  s.meant_for = v.at("f").get<std::vector<std::string>>();
-  s.silent = v.at("q").get<std::vector<std::string>>();
-  s.unreachable_zones = v.at("d").get<std::vector<std::string>>();
-  return true;
-} catch (const json::exception&) {
-  return false;
-}
-
-// By kind, so that type and zone are written once.
+// Grouped, so that type and zone are written once.
 json encode_machines(const std::map<std::string, model::Machine>& machines) {
   std::map<std::tuple<std::string, std::string, bool>, json> groups;
-  for (const auto& [name, m] : machines) {
-    json& group = groups[{m.type, m.zone, m.spot}];
+  for (const auto& [name, machine] : machines) {
+    json& group = groups[{machine.type, machine.zone, machine.spot}];
     if (group.is_null()) group = json::array();
-    group.push_back(json::array({name, static_cast<int64_t>(m.rented)}));
+    group.push_back(json::array({name, static_cast<int64_t>(machine.rented)}));
+  }
+  json encoded = json::array();
+  for (auto& [kind, members] : groups) {
+    const auto& [type, zone, spot] = kind;
+    encoded.push_back(json::array({type, zone, spot ? 1 : 0, std::move(members)}));
   }
-  json out = json::array();
-  for (auto& [kind, members] : groups)
-    out.push_back(json::array(
-        {std::get<0>(kind), std::get<1>(kind), std::get<2>(kind) ? 1 : 0, std::move(members)}));
-  return json{{"g", std::move(out)}};
+  return json{{"g", std::move(encoded)}};
 }
 
-bool decode_machines(const json& v, std::map<std::string, model::Machine>& machines) try {
-  machines.clear();
-  for (const auto& group : v.at("g")) {
-    model::Machine m;
-    m.type = group.at(0);
-    m.zone = group.at(1);
-    m.spot = group.at(2).get<int>() != 0;
-    for (const auto& a : group.at(3)) {
-      m.name = a.at(0);
-      m.rented = static_cast<double>(a.at(1).get<int64_t>());
-      machines[m.name] = m;
-    }
-  }
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<std::map<std::string, model::Machine>> decode_machines(const json& value) {
+  return decode_record([&] { return read_machines(value); });
+}
+
+json encode_liveness(const model::LivenessRecord& record) {
+  return json{{"i", record.incarnation},
+              {"u", record.suspects_itself},
+              {"f", record.meant_for},
+              {"q", record.silent},
+              {"d", record.unreachable_zones}};
+}
+
+Decoded<model::LivenessRecord> decode_liveness(const json& value) {
+  return decode_record([&] {
+    model::LivenessRecord record;
+    record.incarnation = required<uint64_t>(value, "i");
+    record.suspects_itself = required<bool>(value, "u");
+    record.meant_for = required<std::vector<std::string>>(value, "f");
+    record.silent = required<std::vector<std::string>>(value, "q");
+    record.unreachable_zones = required<std::vector<std::string>>(value, "d");
+    return record;
+  });
 }
 
 json encode_quota_division(const std::vector<model::QuotaShare>& shares) {
   json cpus = json::array(), gpus = json::array();
-  for (const auto& s : shares) {
-    cpus.push_back(s.cpus);
-    gpus.push_back(s.gpus);
+  for (const auto& share : shares) {
+    cpus.push_back(share.cpus);
+    gpus.push_back(share.gpus);
   }
   return json{{"c", std::move(cpus)}, {"g", std::move(gpus)}};
 }
 
-bool decode_quota_division(const json& v, size_t partitions,
-                           std::vector<model::QuotaShare>& shares) try {
-  const json &cpus = v.at("c"), &gpus = v.at("g");
-  if (!cpus.is_array() || !gpus.is_array() || cpus.size() != partitions ||
-      gpus.size() != partitions)
-    return false;
-  shares.assign(partitions, {});
-  for (size_t b = 0; b < partitions; ++b) {
-    shares[b] = {cpus[b].get<double>(), gpus[b].get<double>()};
-    if (!(shares[b].cpus >= 0) || !(shares[b].gpus >= 0)) return false;
-  }
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<std::vector<model::QuotaShare>> decode_quota_division(const json& value,
+                                                              size_t partitions) {
+  return decode_record([&] { return read_quota_division(value, partitions); });
 }
 
 json encode_version(const model::VersionRecord& record) {
   return json{{"v", record.version}, {"i", record.incarnation}};
 }
 
-bool decode_version(const json& v, model::VersionRecord& record) try {
-  record.version = v.at("v");
-  record.incarnation = v.at("i");
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<model::VersionRecord> decode_version(const json& value) {
+  return decode_record([&] {
+    model::VersionRecord record;
+    record.version = required<int>(value, "v");
+    record.incarnation = required<uint64_t>(value, "i");
+    return record;
+  });
 }
 
 json encode_upgrade(const model::UpgradeRecord& record) { return json{{"v", record.version}}; }
 
-bool decode_upgrade(const json& v, model::UpgradeRecord& record) try {
-  record.version = v.at("v");
-  return true;
-} catch (const json::exception&) {
-  return false;
+Decoded<model::UpgradeRecord> decode_upgrade(const json& value) {
+  return decode_record([&] {
+    model::UpgradeRecord record;
+    record.version = required<int>(value, "v");
+    return record;
+  });
+}
+
+json encode_type(const model::MachineType& type) {
+  return json{{"n", type.name},          {"c", type.capacity.cpus},
+              {"g", type.capacity.gpus}, {"m", type.capacity.memory_gb},
+              {"k", type.cache_gb},      {"f", type.fetch_gb_per_s},
+              {"p", type.price},         {"s", type.spot_price},
+              {"b", type.boot_s},        {"z", type.zones}};
 }
 
-json encode_type(const model::MachineType& t) {
-  return json{{"n", t.name},          {"c", t.capacity.cpus},
-              {"g", t.capacity.gpus}, {"m", t.capacity.memory_gb},
-              {"k", t.cache_gb},      {"f", t.fetch_gb_per_s},
-              {"p", t.price},         {"s", t.spot_price},
-              {"b", t.boot_s},        {"z", t.zones}};
+Decoded<model::MachineType> decode_type(const json& value) {
+  return decode_record([&] {
+    model::MachineType type;
+    type.name = required<std::string>(value, "n");
+    type.capacity.cpus = required<double>(value, "c");
+    type.capacity.gpus = required<double>(value, "g");
+    type.capacity.memory_gb = required<double>(value, "m");
+    type.cache_gb = required<double>(value, "k");
+    type.fetch_gb_per_s = required<double>(value, "f");
+    type.price = required<double>(value, "p");
+    type.spot_price = required<double>(value, "s");
+    type.boot_s = required<double>(value, "b");
+    type.zones = required<std::vector<std::string>>(value, "z");
+    return type;
+  });
 }
 
-bool decode_type(const json& v, model::MachineType& t) try {
-  t.name = v.at("n");
-  t.capacity.cpus = v.at("c");
-  t.capacity.gpus = v.at("g");
-  t.capacity.memory_gb = v.at("m");
-  t.cache_gb = v.at("k");
-  t.fetch_gb_per_s = v.at("f");
-  t.price = v.at("p");
-  t.spot_price = v.at("s");
-  t.boot_s = v.at("b");
-  t.zones = v.at("z").get<std::vector<std::string>>();
-  return true;
-} catch (const json::exception&) {
-  return false;
+json encode_leadership(const model::Leadership& leadership) {
+  return json{{"h", leadership.label}, {"i", leadership.incarnation}, {"t", leadership.term}};
 }
 
-std::string task_name(const model::TaskRef& t) { return t.job + "/" + std::to_string(t.index); }
-
-std::optional<model::TaskRef> parse_task_name(const std::string& name) {
-  auto slash = name.rfind('/');
-  if (slash == std::string::npos || slash + 1 >= name.size()) return std::nullopt;
-  model::TaskRef t;
-  t.job = name.substr(0, slash);
-  const char* end = name.data() + name.size();
-  auto [p, ec] = std::from_chars(name.data() + slash + 1, end, t.index);
-  if (ec != std::errc() || p != end || !valid_job_id(t.job)) return std::nullopt;
-  return t;
+Decoded<model::Leadership> decode_leadership(const json& value) {
+  return decode_record([&] {
+    model::Leadership leadership;
+    leadership.label = field_or<std::string>(value, "h", "");
+    leadership.incarnation = field_or<uint64_t>(value, "i", 0);
+    leadership.term = field_or<uint64_t>(value, "t", 0);
+    return leadership;
+  });
 }
 
-bool valid_job_id(const std::string& id) {
-  if (id.size() < 4 || id.size() > 64 || id.compare(0, 3, "wk-") != 0) return false;
-  return std::all_of(id.begin() + 3, id.end(),
-                     [](unsigned char c) { return c >= '0' && c <= '9'; });
+json encode_term(uint64_t term) { return json{{"t", term}}; }
+
+Decoded<uint64_t> decode_term(const json& value) {
+  return decode_record([&] { return field_or<uint64_t>(value, "t", 0); });
 }
 
 }  // namespace rooksill::wire
--- a/src/rooksill/wire/user_codec.cc
+++ b/src/rooksill/wire/user_codec.cc
@@ -5,7 +5,8 @@
 #include <nlohmann/json.hpp>
 
 #include "rooksill/model/job.h"
-#include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/json_fields.h"
+#include "rooksill/wire/names.h"
 
 namespace rooksill::wire {
 
@@ -16,108 +17,117 @@
 constexpr uint64_t kMaxTasks = 100000;
 constexpr size_t kMaxTextBytes = 200;
 constexpr size_t kMaxTypes = 64;
+constexpr double kMaxAmount = 1e12;  // of resources and of seconds
 
-struct Bad {
-  std::string field;
-};
+// The text is part of the answer to the user.
+FieldError invalid(const char* field) { return {field, "missing or invalid", ""}; }
 
-const json* find(const json& j, const char* name) {
-  auto it = j.find(name);
-  return it == j.end() || it->is_null() ? nullptr : &*it;
+// A field that is null counts as left out.
+const json* find(const json& object, const char* field) {
+  auto it = object.find(field);
+  return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-const json& need(const json& j, const char* name) {
-  const json* v = find(j, name);
-  if (v == nullptr) throw Bad{name};
-  return *v;
+const json& need(const json& object, const char* field) {
+  const json* value = find(object, field);
+  if (value == nullptr) throw invalid(field);
+  return *value;
 }
 
-std::string name_of(const json& v, const char* name) {
-  if (!v.is_string()) throw Bad{name};
-  auto s = v.get<std::string>();
-  if (s.empty() || s.size() > kMaxTextBytes) throw Bad{name};
-  return s;
+std::string to_text(const json& value, const char* field) {
+  if (!value.is_string()) throw invalid(field);
+  auto text = value.get<std::string>();
+  if (text.empty() || text.size() > kMaxTextBytes) throw invalid(field);
+  return text;
 }
 
-double amount_of(const json& v, const char* name, double low) {
-  if (!v.is_number()) throw Bad{name};
-  double d = v.get<double>();
-  if (!std::isfinite(d) || d < low || d > 1e12) throw Bad{name};
-  return d;
+double to_amount(const json& value, const char* field) {
+  if (!value.is_number()) throw invalid(field);
+  const double amount = value.get<double>();
+  if (!std::isfinite(amount) || amount < 0 || amount > kMaxAmount) throw invalid(field);
+  return amount;
 }
 
-std::string text(const json& j, const char* name) { return name_of(need(j, name), name); }
-double amount(const json& j, const char* name, double low = 0) {
-  return amount_of(need(j, name), name, low);
+std::string text(const json& object, const char* field) {
+  return to_text(need(object, field), field);
 }
-bool flag(const json& j, const char* name) {
-  const json& v = need(j, name);
-  if (!v.is_boolean()) throw Bad{name};
-  return v.get<bool>();
+
+double amount(const json& object, const char* field) {
+  return to_amount(need(object, field), field);
 }
 
-}  // namespace
+bool flag(const json& object, const char* field) {
+  const json& value = need(object, field);
+  if (!value.is_boolean()) throw invalid(field);
+  return value.get<bool>();
+}
 
-std::optional<model::JobSpec> parse_job(const std::string& body, std::string& error) try {
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) {
-    error = "not a JSON object";
-    return std::nullopt;
-  }
-  model::JobSpec s;
-  s.id = text(j, "id");
-  if (!valid_job_id(s.id)) throw Bad{"id"};
-  s.job_class = text(j, "flock");
-  s.team = text(j, "owner");
-  const std::string shape = text(j, "shape");
-  if (shape == "batch")
-    s.shape = model::Shape::kArray;
-  else if (shape == "service")
-    s.shape = model::Shape::kService;
-  else if (shape == "ensemble")
-    s.shape = model::Shape::kGang;  // not in the protocol's text; see docs/questions.md
-  else
-    throw Bad{"shape"};
-  const std::string rank = text(j, "rank");
-  if (rank == "prod")
-    s.priority = model::Priority::kProd;
-  else if (rank == "urgent")
-    s.priority = model::Priority::kUrgent;
-  else if (rank == "standard")
-    s.priority = model::Priority::kStandard;
-  else if (rank == "idle")
-    s.priority = model::Priority::kIdle;
-  else
-    throw Bad{"rank"};
-  const json& pieces = need(j, "pieces");
+model::Shape read_shape(const json& object) {
+  const std::string shape = text(object, "shape");
+  if (shape == "batch") return model::Shape::kArray;
+  if (shape == "service") return model::Shape::kService;
+  // Not in the protocol's text; see docs/questions.md.
+  if (shape == "ensemble") return model::Shape::kGang;
+  throw invalid("shape");
+}
+
+model::Priority read_priority(const json& object) {
+  const std::string rank = text(object, "rank");
+  if (rank == "prod") return model::Priority::kProd;
+  if (rank == "urgent") return model::Priority::kUrgent;
+  if (rank == "standard") return model::Priority::kStandard;
+  if (rank == "idle") return model::Priority::kIdle;
+  throw invalid("rank");
+}
+
+uint32_t read_tasks(const json& object) {
+  const json& pieces = need(object, "pieces");
   if (!pieces.is_number_integer() || pieces.get<int64_t>() < 1 ||
       pieces.get<uint64_t>() > kMaxTasks)
-    throw Bad{"pieces"};
-  s.tasks = pieces.get<uint32_t>();
-  s.request.cpus = amount(j, "cores");
-  s.request.gpus = amount(j, "gpus");
-  s.request.memory_gb = amount(j, "memory_gb");
-  s.image = text(j, "bundle");
-  s.image_gb = amount(j, "size_gb");
-  if (const json* types = find(j, "builds")) {
-    if (!types->is_array() || types->empty() || types->size() > kMaxTypes) throw Bad{"builds"};
-    for (const auto& t : *types) s.types.push_back(name_of(t, "builds"));
-  }
-  if (const json* zone = find(j, "ward")) s.zone = name_of(*zone, "ward");
-  s.one_zone = flag(j, "together");
-  s.spread = flag(j, "spread");
-  s.spot = flag(j, "loaners");
-  s.estimate_s = amount(j, "guess_s");
-  s.checkpoint_s = amount(j, "snapshot_s");
-  s.save_s = amount(j, "flush_s");
-  if (const json* due = find(j, "due_s")) s.deadline_s = amount_of(*due, "due_s", 0);
-  return s;
-} catch (const Bad& bad) {
-  error = bad.field + ": missing or invalid";
-  return std::nullopt;
-} catch (const json::exception&) {
-  error = "malformed";
-  return std::nullopt;
+    throw invalid("pieces");
+  return pieces.get<uint32_t>();
+}
+
+std::vector<std::string> read_types(const json& object) {
+  const json* builds = find(object, "builds");
+  if (builds == nullptr) return {};
+  if (!builds->is_array() || builds->empty() || builds->size() > kMaxTypes) throw invalid("builds");
+  std::vector<std::string> types;
+  for (const auto& type : *builds) types.push_back(to_text(type, "builds"));
+  return types;
+}
+
+// Field by field in this order: the answer names the first that is invalid.
+model::JobSpec read_job(const json& object) {
+  model::JobSpec spec;
+  spec.id = text(object, "id");
+  if (!valid_job_id(spec.id)) throw invalid("id");
+  spec.job_class = text(object, "flock");
+  spec.team = text(object, "owner");
+  spec.shape = read_shape(object);
+  spec.priority = read_priority(object);
+  spec.tasks = read_tasks(object);
+  spec.request.cpus = amount(object, "cores");
+  spec.request.gpus = amount(object, "gpus");
+  spec.request.memory_gb = amount(object, "memory_gb");
+  spec.image = text(object, "bundle");
+  spec.image_gb = amount(object, "size_gb");
+  spec.types = read_types(object);
+  if (const json* zone = find(object, "ward")) spec.zone = to_text(*zone, "ward");
+  spec.one_zone = flag(object, "together");
+  spec.spread = flag(object, "spread");
+  spec.spot = flag(object, "loaners");
+  spec.estimate_s = amount(object, "guess_s");
+  spec.checkpoint_s = amount(object, "snapshot_s");
+  spec.save_s = amount(object, "flush_s");
+  if (const json* due = find(object, "due_s")) spec.deadline_s = to_amount(*due, "due_s");
+  return spec;
+}
+
+}  // namespace
+
+Decoded<model::JobSpec> parse_job(const std::string& body) {
+  return decode_with(Interface::kUser, [&] { return read_job(parse_object(body)); });
 }
 
 std::string encode_status(const model::Job& job) {
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -1,11 +1,13 @@
 #include "rooksill/wire/worker_codec.h"
 
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <utility>
 
 #include "rooksill/model/identifiers.h"
-#include "rooksill/wire/store_codec.h"
+#include "rooksill/wire/json_fields.h"
+#include "rooksill/wire/names.h"
 
 namespace rooksill::wire {
 
@@ -13,78 +15,89 @@
 
 namespace {
 
-json encode_command_list(const std::vector<WorkerCommand>& commands) {
-  json a = json::array();
-  for (const auto& o : commands) {
-    json x{{"piece", task_name(o.task)}, {"try", o.attempt}};
-    switch (o.op) {
-      case WorkerCommand::Op::kStart:
-        x["verb"] = "start";
-        break;
-      case WorkerCommand::Op::kStop:
-        x["verb"] = "stop";
-        x["mercy_s"] = o.grace_s;
-        break;
-      case WorkerCommand::Op::kRemove:
-        x["verb"] = "reap";
-        break;
-    }
-    a.push_back(std::move(x));
+constexpr size_t kMaxMachineNameBytes = 100;
+
+json encode_command(const WorkerCommand& command) {
+  json encoded{{"piece", task_name(command.task)}, {"try", command.attempt}};
+  switch (command.op) {
+    case WorkerCommand::Op::kStart:
+      encoded["verb"] = "start";
+      break;
+    case WorkerCommand::Op::kStop:
+      encoded["verb"] = "stop";
+      encoded["mercy_s"] = command.grace_s;
+      break;
+    case WorkerCommand::Op::kRemove:
+      encoded["verb"] = "reap";
+      break;
   }
-  return a;
+  return encoded;
+}
+
+json encode_command_list(const std::vector<WorkerCommand>& commands) {
+  json list = json::array();
+  for (const auto& command : commands) list.push_back(encode_command(command));
+  return list;
 }
 
-std::optional<TaskPhase> parse_phase(const std::string& s) {
-  if (s == "pulling") return TaskPhase::kFetching;
-  if (s == "gathering") return TaskPhase::kWaitingForGang;
-  if (s == "running") return TaskPhase::kRunning;
-  if (s == "saving") return TaskPhase::kSaving;
-  if (s == "exited") return TaskPhase::kExited;
-  return std::nullopt;
+TaskPhase read_phase(const json& task) {
+  const auto status = required<std::string>(task, "status");
+  if (status == "pulling") return TaskPhase::kFetching;
+  if (status == "gathering") return TaskPhase::kWaitingForGang;
+  if (status == "running") return TaskPhase::kRunning;
+  if (status == "saving") return TaskPhase::kSaving;
+  if (status == "exited") return TaskPhase::kExited;
+  throw FieldError{"status", "unknown", status};
 }
 
-ExitCause parse_cause(const std::string& s) {
-  if (s == "done") return ExitCause::kDone;
-  if (s == "stopped") return ExitCause::kStopped;
-  if (s == "mates_gone") return ExitCause::kGangMemberLost;
-  if (s == "alone") return ExitCause::kGangIncomplete;
-  if (s == "no_room") return ExitCause::kNoRoom;
-  if (s == "busy") return ExitCause::kBusy;
-  if (s == "no_such") return ExitCause::kUnknownTask;
+// A cause that this version does not know is an error of the task.
+ExitCause read_cause(const json& task) {
+  const auto cause = field_or<std::string>(task, "cause", "error");
+  if (cause == "done") return ExitCause::kDone;
+  if (cause == "stopped") return ExitCause::kStopped;
+  if (cause == "mates_gone") return ExitCause::kGangMemberLost;
+  if (cause == "alone") return ExitCause::kGangIncomplete;
+  if (cause == "no_room") return ExitCause::kNoRoom;
+  if (cause == "busy") return ExitCause::kBusy;
+  if (cause == "no_such") return ExitCause::kUnknownTask;
   return ExitCause::kError;
 }
 
+ReportedTask read_task(const json& value) {
+  ReportedTask task;
+  const auto name = required<std::string>(value, "piece");
+  const auto ref = parse_task_name(name);
+  if (!ref) throw FieldError{"piece", "not the name of a task", name};
+  task.task = *ref;
+  task.attempt = required<uint64_t>(value, "try");
+  task.phase = read_phase(value);
+  if (task.phase == TaskPhase::kExited) task.cause = read_cause(value);
+  return task;
+}
+
+WorkerHeartbeat read_heartbeat(const json& value) {
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = required<std::string>(value, "perch");
+  if (heartbeat.machine.empty() || heartbeat.machine.size() > kMaxMachineNameBytes)
+    throw FieldError{"perch", "empty or too long", ""};
+  heartbeat.address = required<std::string>(value, "address");
+  heartbeat.type = required<std::string>(value, "build");
+  heartbeat.zone = required<std::string>(value, "ward");
+  heartbeat.spot = required<bool>(value, "loaners");
+  heartbeat.agent_epoch = required<uint64_t>(value, "tenure");
+  heartbeat.sequence = required<uint64_t>(value, "tally");
+  heartbeat.fencing_token = model::FencingToken{required<uint64_t>(value, "baton")};
+  const auto notice = value.find("warning_s");
+  if (notice != value.end() && !notice->is_null())
+    heartbeat.termination_notice_s = convert<double>(*notice, "warning_s");
+  for (const auto& task : member(value, "pieces")) heartbeat.tasks.push_back(read_task(task));
+  return heartbeat;
+}
+
 }  // namespace
 
-std::optional<WorkerHeartbeat> parse_heartbeat(const std::string& body) try {
-  json j = json::parse(body, nullptr, false);
-  if (!j.is_object()) return std::nullopt;
-  WorkerHeartbeat r;
-  r.machine = j.at("perch").get<std::string>();
-  r.address = j.at("address").get<std::string>();
-  r.type = j.at("build").get<std::string>();
-  r.zone = j.at("ward").get<std::string>();
-  r.spot = j.at("loaners").get<bool>();
-  r.agent_epoch = j.at("tenure").get<uint64_t>();
-  r.sequence = j.at("tally").get<uint64_t>();
-  r.fencing_token = model::FencingToken{j.at("baton").get<uint64_t>()};
-  auto notice = j.find("warning_s");
-  if (notice != j.end() && !notice->is_null()) r.termination_notice_s = notice->get<double>();
-  for (const auto& p : j.at("pieces")) {
-    ReportedTask t;
-    auto ref = parse_task_name(p.at("piece").get<std::string>());
-    auto phase = parse_phase(p.at("status").get<std::string>());
-    if (!ref || !phase) return std::nullopt;
-    t.task = *ref;
-    t.attempt = p.at("try").get<uint64_t>();
-    t.phase = *phase;
-    if (t.phase == TaskPhase::kExited) t.cause = parse_cause(p.value("cause", "error"));
-    r.tasks.push_back(std::move(t));
-  }
-  if (r.machine.empty() || r.machine.size() > 100) return std::nullopt;
-  return r;
-} catch (const json::exception&) {
-  return std::nullopt;
+Decoded<WorkerHeartbeat> parse_heartbeat(const std::string& body) {
+  return decode_with(Interface::kWorker, [&] { return read_heartbeat(parse_object(body)); });
 }
 
 std::string encode_answer(model::FencingToken fencing_token,
--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -30,15 +30,14 @@
 
 // A job that is taken has to decode to the same record again.
 bool take_job(const Line& line, const std::string& text) {
-  std::string error;
-  const auto spec = rooksill::wire::parse_job(text, error);
+  const auto spec = rooksill::wire::parse_job(text);
   if (!spec) {
-    if (error.empty()) fail(line, "refused without a reason");
+    if (spec.error().message().empty()) fail(line, "refused without a reason");
     return false;
   }
   const auto encoded = rooksill::wire::encode_spec(*spec);
-  rooksill::model::JobSpec again;
-  if (!rooksill::wire::decode_spec(encoded, again) || rooksill::wire::encode_spec(again) != encoded)
+  const auto again = rooksill::wire::decode_spec(encoded);
+  if (!again || rooksill::wire::encode_spec(*again) != encoded)
     fail(line, "does not come back: " + text);
   if (spec->tasks < 1 || spec->tasks > kMaxTasks) fail(line, "impossible count");
   return true;
@@ -62,8 +61,7 @@
 }
 
 bool take_peer_message(const Line&, const std::string& text) {
-  rooksill::wire::MachineStatusUpdate update;
-  return rooksill::wire::unpack(text, update);
+  return rooksill::wire::unpack<rooksill::wire::MachineStatusUpdate>(text).has_value();
 }
 
 std::string make_peer_message() {
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -20,13 +20,14 @@
 // Reads a payload as its type and writes it again.
 template <typename Message>
 std::string written_again(const std::string& bytes) {
-  Message message;
-  return rooksill::wire::unpack(bytes, message) ? rooksill::wire::pack(message) : "";
+  const auto message = rooksill::wire::unpack<Message>(bytes);
+  return message ? rooksill::wire::pack(*message) : "";
 }
 
 std::string message_again(const std::string& bytes) {
-  rooksill::wire::Envelope envelope;
-  if (!rooksill::wire::unpack(bytes, envelope)) return "";
+  auto unpacked = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
+  if (!unpacked) return "";
+  rooksill::wire::Envelope& envelope = *unpacked;
   switch (static_cast<rooksill::wire::PeerKind>(envelope.kind)) {
     case rooksill::wire::PeerKind::kHeartbeat:
       envelope.payload = written_again<rooksill::wire::ControllerHeartbeat>(envelope.payload);
@@ -50,47 +51,43 @@
   return rooksill::wire::pack(envelope);
 }
 
+// What was decoded, encoded again; null if it was not taken.
+template <typename Record>
+nlohmann::json encoded_again(const rooksill::wire::Decoded<Record>& record,
+                             nlohmann::json (*encode)(const Record&)) {
+  return record ? encode(*record) : nlohmann::json();
+}
+
 nlohmann::json value_again(const std::string& key, const nlohmann::json& value) {
-  const std::string kind = key.substr(0, 5);
-  if (kind == "rk/j/") {
-    rooksill::model::Job job;
-    return rooksill::wire::decode_job(value, job) ? rooksill::wire::encode_job(job)
-                                                  : nlohmann::json();
-  }
-  if (kind == "rk/t/") {
-    std::vector<rooksill::model::TaskState> tasks;
-    return rooksill::wire::decode_shard(value, value.at("p").size(), tasks)
-               ? rooksill::wire::encode_shard(tasks)
-               : nlohmann::json();
-  }
-  if (kind == "rk/l/") {
-    rooksill::model::PartitionLease lease;
-    return rooksill::wire::decode_lease(value, lease) ? rooksill::wire::encode_lease(lease)
-                                                      : nlohmann::json();
-  }
-  if (kind == "rk/m/") {
-    std::map<std::string, rooksill::model::Machine> machines;
-    return rooksill::wire::decode_machines(value, machines)
-               ? rooksill::wire::encode_machines(machines)
-               : nlohmann::json();
-  }
-  if (kind == "rk/n/") {
-    rooksill::model::LivenessRecord sign;
-    return rooksill::wire::decode_liveness(value, sign) ? rooksill::wire::encode_liveness(sign)
-                                                        : nlohmann::json();
-  }
-  if (kind == "rk/q/") {
-    std::vector<rooksill::model::QuotaShare> shares;
-    return rooksill::wire::decode_quota_division(value, value.at("c").size(), shares)
-               ? rooksill::wire::encode_quota_division(shares)
-               : nlohmann::json();
-  }
-  if (kind == "rk/c/") {
-    rooksill::model::MachineType type;
-    return rooksill::wire::decode_type(value, type) ? rooksill::wire::encode_type(type)
-                                                    : nlohmann::json();
+  namespace wire = rooksill::wire;
+  const auto parsed = wire::parse_store_key(key);
+  if (!parsed) return nullptr;
+  switch (parsed->kind) {
+    case wire::KeyKind::kJob:
+      return encoded_again(wire::decode_job(value), wire::encode_job);
+    case wire::KeyKind::kShard:
+      return encoded_again(wire::decode_shard(value, value.at("p").size()), wire::encode_shard);
+    case wire::KeyKind::kLease:
+      return encoded_again(wire::decode_lease(value), wire::encode_lease);
+    case wire::KeyKind::kMachines:
+      return encoded_again(wire::decode_machines(value), wire::encode_machines);
+    case wire::KeyKind::kLiveness:
+      return encoded_again(wire::decode_liveness(value), wire::encode_liveness);
+    case wire::KeyKind::kVersion:
+      return encoded_again(wire::decode_version(value), wire::encode_version);
+    case wire::KeyKind::kQuota:
+      return encoded_again(wire::decode_quota_division(value, value.at("c").size()),
+                           wire::encode_quota_division);
+    case wire::KeyKind::kMachineType:
+      return encoded_again(wire::decode_type(value), wire::encode_type);
+    case wire::KeyKind::kLeader:
+      return encoded_again(wire::decode_leadership(value), wire::encode_leadership);
+    case wire::KeyKind::kTerm:
+      return wire::encode_term(*wire::decode_term(value));
+    case wire::KeyKind::kUpgrade:
+      return encoded_again(wire::decode_upgrade(value), wire::encode_upgrade);
   }
-  return value;  // the leader's keys have no codec of their own
+  return nullptr;
 }
 
 }  // namespace
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -20,9 +20,8 @@
 size_t index_of(const std::string& label) { return std::stoul(label.substr(1)); }
 
 bool readable_by_first_version(const std::string& bytes) {
-  rooksill::wire::Envelope envelope;
-  return rooksill::wire::unpack(bytes, envelope) &&
-         envelope.version == rooksill::model::kFirstVersion;
+  const auto envelope = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
+  return envelope && envelope->version == rooksill::model::kFirstVersion;
 }
 
 }  // namespace
