--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -17,7 +17,7 @@
 double unplanned_cost_factor(const PlatformSettings& platform) {
   double factor = 1;
   for (const auto& objective : platform.objectives)
-    if (objective.kind == "wait" && objective.share < 1)
+    if (objective.kind == ObjectiveKind::kWait && objective.share < 1)
       factor = std::max(factor, 1 / (1 - objective.share));
   return factor;
 }
--- a/src/rooksill/placement/feasibility.cc
+++ b/src/rooksill/placement/feasibility.cc
@@ -17,7 +17,8 @@
 Feasibility::Feasibility(const std::vector<Objective>& objectives)
     : soonest_start_s_(std::numeric_limits<double>::infinity()) {
   for (const auto& objective : objectives)
-    if (objective.kind == "wait") soonest_start_s_ = std::min(soonest_start_s_, objective.within_s);
+    if (objective.kind == ObjectiveKind::kWait)
+      soonest_start_s_ = std::min(soonest_start_s_, objective.within_s);
 }
 
 bool Feasibility::allows(const model::JobSpec& spec, const MachineCapacity& machine) {
--- a/src/rooksill/placement/work_order.cc
+++ b/src/rooksill/placement/work_order.cc
@@ -21,9 +21,9 @@
   for (const auto& objective : objectives) {
     if (objective.job_class != spec.job_class) continue;
     double target = 0;
-    if (objective.kind == "deadline" && spec.deadline_s)
+    if (objective.kind == ObjectiveKind::kDeadline && spec.deadline_s)
       target = job.submitted + *spec.deadline_s * objective.times;
-    else if (objective.kind == "finished")
+    else if (objective.kind == ObjectiveKind::kFinished)
       target = job.submitted + objective.within_s;
     else
       continue;
--- a/src/rooksill/settings/operators.cc
+++ b/src/rooksill/settings/operators.cc
@@ -13,41 +13,61 @@
 
 using nlohmann::json;
 
-OperatorSettings parse_operators(const std::string& source) {
-  json j = json::parse(source, nullptr, false);
-  if (j.is_discarded()) throw SettingsError("operators' settings: not JSON");
-  json schema_json = json::parse(kOperatorSchema);
+namespace {
+
+constexpr const char* kWholeFile = "operators' settings";
+
+SettingsError schema_error(valijson::ValidationResults& results) {
+  std::string field = kWholeFile;
+  std::string problem = "out of the schema";
+  valijson::ValidationResults::Error error;
+  // The last error names the innermost field.
+  while (results.popError(error)) {
+    field.clear();
+    for (const std::string& part : error.context) field += part;
+    problem = error.description;
+  }
+  return {SettingsError::Reason::kOutOfSchema, field, problem};
+}
+
+void check_schema(const json& settings) {
+  const json schema_json = json::parse(kOperatorSchema);
   valijson::Schema schema;
   valijson::SchemaParser parser;
   parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(schema_json), schema);
   valijson::Validator validator;
   valijson::ValidationResults results;
-  if (!validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(j), &results)) {
-    valijson::ValidationResults::Error error;
-    std::string at = "operators' settings", what = "out of the schema";
-    // The last error names the innermost field.
-    while (results.popError(error)) {
-      std::string path;
-      for (const auto& part : error.context) path += part;
-      at = path;
-      what = error.description;
-    }
-    throw SettingsError(at + ": " + what);
-  }
-  OperatorSettings s;
-  json p = j.value("policy", json::object());
-  s.period_reports = p.value("period_reports", s.period_reports);
-  s.periods = p.value("periods", s.periods);
-  s.planned_cost = p.value("planned_cost", s.planned_cost);
-  s.unplanned_cost = p.value("unplanned_cost", s.unplanned_cost);
-  s.holding_cost = p.value("holding_cost", s.holding_cost);
-  s.ceiling = p.value("ceiling", s.ceiling);
-  s.demand_cap = p.value("demand_cap", s.demand_cap);
-  json t = j.value("takeover", json::object());
-  s.leader_ttl_reports = t.value("leader_ttl_reports", s.leader_ttl_reports);
-  s.peer_silence_reports = t.value("peer_silence_reports", s.peer_silence_reports);
-  s.machine_silence_reports = t.value("machine_silence_reports", s.machine_silence_reports);
-  return s;
+  if (!validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(settings), &results))
+    throw schema_error(results);
+}
+
+// Replaces the default in `setting` if the file has the field.
+template <typename Setting>
+void read_optional(const json& section, const char* name, Setting& setting) {
+  setting = section.value(name, setting);
+}
+
+}  // namespace
+
+OperatorSettings parse_operators(const std::string& source) {
+  const json root = json::parse(source, nullptr, false);
+  if (root.is_discarded())
+    throw SettingsError(SettingsError::Reason::kMalformed, kWholeFile, "not JSON");
+  check_schema(root);
+  OperatorSettings settings;
+  const json policy = root.value("policy", json::object());
+  read_optional(policy, "period_reports", settings.period_reports);
+  read_optional(policy, "periods", settings.periods);
+  read_optional(policy, "planned_cost", settings.planned_cost);
+  read_optional(policy, "unplanned_cost", settings.unplanned_cost);
+  read_optional(policy, "holding_cost", settings.holding_cost);
+  read_optional(policy, "ceiling", settings.ceiling);
+  read_optional(policy, "demand_cap", settings.demand_cap);
+  const json takeover = root.value("takeover", json::object());
+  read_optional(takeover, "leader_ttl_reports", settings.leader_ttl_reports);
+  read_optional(takeover, "peer_silence_reports", settings.peer_silence_reports);
+  read_optional(takeover, "machine_silence_reports", settings.machine_silence_reports);
+  return settings;
 }
 
 }  // namespace rooksill
--- a/src/rooksill/settings/settings.h
+++ b/src/rooksill/settings/settings.h
@@ -1,66 +1,111 @@
-// The platform's settings file and the operators' own settings.
+// The platform's settings file and the operators' own settings, both JSON, read once at the start.
 #pragma once
 
+#include <cstddef>
 #include <map>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
-namespace rooksill {
+#include "rooksill/settings/settings_error.h"
 
-struct SettingsError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
+namespace rooksill {
 
+// Another controller of the cluster.
 struct PeerAddress {
   std::string label;
-  std::string endpoint;
+  std::string endpoint;  // host:port
 };
 
+// What a team is guaranteed and the most that it may use. 0: no such bound.
 struct TeamQuota {
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
+  double cpus = 0;
+  double cpus_max = 0;
+  double gpus = 0;
+  double gpus_max = 0;
+};
+
+// What the platform measures a class of jobs by.
+enum class ObjectiveKind {
+  kWait,      // started within `within_s` of the submission
+  kDeadline,  // done within `times` the time up to the deadline that the user set
+  kFinished,  // done within `within_s` of the submission
+  kOther,     // not known to this version, and ignored
 };
 
 struct Objective {
-  std::string kind, job_class;
-  double within_s = 0, share = 0, times = 1;
+  ObjectiveKind kind = ObjectiveKind::kOther;
+  std::string job_class;
+  double within_s = 0;
+  double share = 0;  // that has to meet the objective, 0 to 1
+  double times = 1;
 };
 
-// What the platform hands over. Wire names are known to platform.cc only.
+// What the platform hands over. The names on the wire are known to platform.cc only.
 struct PlatformSettings {
-  std::string label, zone, api_address, back_address;
+  // This controller and the others.
+  std::string label;
+  std::string zone;
+  std::string api_address;   // host:port that users and workers connect to
+  std::string back_address;  // host:port that other controllers connect to
   std::vector<PeerAddress> peers;
-  std::string cloud_address, state_address;
+  int controllers = 3;  // with this one
+
+  // The cluster.
   std::vector<std::string> zones;
-  std::map<std::string, TeamQuota> teams;
+  std::map<std::string, TeamQuota> teams;  // by name
   std::vector<Objective> objectives;
-  int controllers = 3;
-  double report_s = 3, lease_s = 30, cancel_s = 60;
+
+  // Workers: how often they report, for how long they keep tasks without an answer, and within
+  // which time all of a cancelled job have to be gone.
+  double report_s = 3;
+  double lease_s = 30;
+  double cancel_s = 60;
   // How long a gang's task waits for the others, and within which time all of a gang have to be
   // told to stop. 0: the platform does not run gangs.
-  double gang_wait_s = 0, gang_peer_s = 0;
-  double state_rps = 100, state_write_rps = 30;
-  // The store's rate of changes once it has lowered its limits; the same if it will not.
+  double gang_wait_s = 0;
+  double gang_peer_s = 0;
+
+  // The store: requests and writes per second, of all controllers together.
+  std::string state_address;  // host:port
+  double state_rps = 100;
+  double state_write_rps = 30;
+  // The rate of writes once the store has lowered its limits; the same if it will not.
   double state_next_write_rps = 30;
   // The smaller of the present and the coming limits: what is written has to fit both.
-  size_t state_value_bytes = 8192, state_txn_ops = 32;
+  size_t state_value_bytes = 8192;
+  size_t state_txn_ops = 32;
   size_t state_present_value_bytes = 8192;
-  double cloud_rps = 1, cloud_list_lag_s = 10;
-  double cores = 1, memory_mb = 128;
+
+  // The cloud: calls per second, and by how much its list of machines may be out of date.
+  std::string cloud_address;  // host:port
+  double cloud_rps = 1;
+  double cloud_list_lag_s = 10;
+
+  // What this process may use.
+  double cores = 1;
+  double memory_mb = 128;
   int max_sockets = 1000;
-  double clock_error_s = 0.1;
+  double clock_error_s = 0.1;  // most that its wall clock is off by
 
   // Every controller's label in one order that all of them agree on.
   std::vector<std::string> labels() const;
 };
 
+// The operators' choices; deploy/operator-settings.schema.json says what each means. Times called
+// *_reports are in report intervals of the workers.
 struct OperatorSettings {
+  // The sizing policy.
   double period_reports = 5;
   int periods = 3;
-  double planned_cost = 1, unplanned_cost = 6, holding_cost = 1;
-  int ceiling = 0;  // 0: as many as the cloud gives
+  double planned_cost = 1;
+  double unplanned_cost = 6;
+  double holding_cost = 1;
+  int ceiling = 0;  // 0: as many machines as the cloud gives
   double demand_cap = 3;
-  double leader_ttl_reports = 0.7, peer_silence_reports = 0.6, machine_silence_reports = 1.5;
+  // Failure detection.
+  double leader_ttl_reports = 0.7;
+  double peer_silence_reports = 0.6;
+  double machine_silence_reports = 1.5;
 };
 
 struct Settings {
@@ -68,6 +113,7 @@
   OperatorSettings operators;
 };
 
+// All throw SettingsError.
 PlatformSettings parse_platform(const std::string& text);
 OperatorSettings parse_operators(const std::string& text);
 std::string read_file(const std::string& path);
