--- a/src/main.cc
+++ b/src/main.cc
@@ -12,55 +12,82 @@
 
 namespace {
 
+constexpr int kExitCannotStart = 1;
+constexpr int kExitUsage = 2;  // a bad command line or bad settings
+
+struct Options {
+  std::string config_file;
+  std::string operator_settings_file;  // empty: none
+  bool check_only = false;
+};
+
+void declare_options(CLI::App& app, Options& options) {
+  app.add_option("--config", options.config_file, "the platform's settings (JSON)")->required();
+  app.add_option("--settings", options.operator_settings_file,
+                 "the operators' own settings (JSON)");
+  app.add_flag("--check", options.check_only, "check the settings and exit");
+  app.set_version_flag("--version", std::string("rooksill ") + ROOKSILL_VERSION);
+}
+
+rooksill::Settings read_settings(const Options& options) {
+  rooksill::Settings settings;
+  settings.platform = rooksill::parse_platform(rooksill::read_file(options.config_file));
+  if (!options.operator_settings_file.empty())
+    settings.operators =
+        rooksill::parse_operators(rooksill::read_file(options.operator_settings_file));
+  return settings;
+}
+
+// Log lines go to standard error. LOG_LEVEL is error, info (default) or debug.
 void set_up_log() {
   auto logger = spdlog::stderr_logger_st("rooksill");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
-  const char* level = std::getenv("LOG_LEVEL");
-  const std::string name = level != nullptr ? level : "info";
-  spdlog::set_level(name == "debug"   ? spdlog::level::debug
-                    : name == "error" ? spdlog::level::err
-                                      : spdlog::level::info);
+  const char* variable = std::getenv("LOG_LEVEL");
+  const std::string level = variable != nullptr ? variable : "info";
+  spdlog::set_level(level == "debug"   ? spdlog::level::debug
+                    : level == "error" ? spdlog::level::err
+                                       : spdlog::level::info);
+}
+
+// Returns only if the process cannot start.
+int serve(const rooksill::Settings& settings) {
+  // A peer that closes its connection is no reason to end: writes report it.
+  std::signal(SIGPIPE, SIG_IGN);
+  try {
+    set_up_log();
+    rooksill::controller::serve(settings);
+  } catch (const std::exception& error) {
+    std::cerr << "rooksill: " << error.what() << "\n";
+    return kExitCannotStart;
+  }
+  return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"rooksill: a cluster scheduler that rents the machines it places tasks on"};
-  std::string config, operators;
-  bool check = false;
-  app.add_option("--config", config, "the platform's settings (JSON)")->required();
-  app.add_option("--settings", operators, "the operators' own settings (JSON)");
-  app.add_flag("--check", check, "check the settings and exit");
-  app.set_version_flag("--version", std::string("rooksill ") + ROOKSILL_VERSION);
+  Options options;
+  declare_options(app, options);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    if (e.get_exit_code() == 0) return app.exit(e);
-    std::cerr << "rooksill: " << e.what()
+  } catch (const CLI::ParseError& error) {
+    if (error.get_exit_code() == 0) return app.exit(error);
+    std::cerr << "rooksill: " << error.what()
               << "\nusage: rooksill [--check] [--settings FILE] --config FILE\n";
-    return 2;
+    return kExitUsage;
   }
   rooksill::Settings settings;
   try {
-    settings.platform = rooksill::parse_platform(rooksill::read_file(config));
-    if (!operators.empty())
-      settings.operators = rooksill::parse_operators(rooksill::read_file(operators));
-  } catch (const rooksill::SettingsError& e) {
-    std::cerr << "rooksill: " << e.what() << "\n";
-    return 2;
+    settings = read_settings(options);
+  } catch (const rooksill::SettingsError& error) {
+    std::cerr << "rooksill: " << error.what() << "\n";
+    return kExitUsage;
   }
-  if (check) {
+  if (options.check_only) {
     std::cout << "settings are valid\n";
     return 0;
   }
-  std::signal(SIGPIPE, SIG_IGN);
-  try {
-    set_up_log();
-    rooksill::controller::serve(settings);
-  } catch (const std::exception& e) {
-    std::cerr << "rooksill: " << e.what() << "\n";
-    return 1;
-  }
-  return 0;
+  return serve(settings);
 }
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -7,8 +7,9 @@
 #include <cstdint>
 #include <deque>
 #include <functional>
+#include <iterator>
 #include <memory>
-#include <stdexcept>
+#include <random>
 #include <string>
 #include <utility>
 #include <vector>
@@ -17,6 +18,8 @@
 #include "rooksill/net/http_client.h"
 #include "rooksill/net/http_server.h"
 #include "rooksill/net/peer_net.h"
+#include "rooksill/runtime/commands.h"
+#include "rooksill/runtime/effects.h"
 #include "rooksill/runtime/socket_budget.h"
 
 namespace rooksill::controller {
@@ -33,6 +36,20 @@
           Seconds(std::chrono::system_clock::now().time_since_epoch()).count()};
 }
 
+spdlog::level::level_enum log_level(runtime::LogLine::Level level) {
+  switch (level) {
+    case runtime::LogLine::Level::kError:
+      return spdlog::level::err;
+    case runtime::LogLine::Level::kInfo:
+      return spdlog::level::info;
+    case runtime::LogLine::Level::kDebug:
+      return spdlog::level::debug;
+  }
+  return spdlog::level::info;
+}
+
+// The event loop around the core. What comes in from the network is queued; before each wait of the
+// loop the queue goes to the core as one batch, and the batch's effects are carried out.
 class Process {
  public:
   explicit Process(const Settings& settings)
@@ -40,12 +57,12 @@
         controller_(settings, seed(settings), read_clocks().wall,
                     spdlog::get_level() <= spdlog::level::debug),
         client_(loop_.get(), sockets(settings, runtime::kOutgoingSockets),
-                [this](runtime::CallDone d) { push(std::move(d)); }),
+                [this](runtime::CallDone done) { push(std::move(done)); }),
         server_(loop_.get(), settings.platform.api_address,
                 sockets(settings, runtime::kIncomingSockets),
-                [this](uint64_t id, net::HttpMessage m) {
-                  push(runtime::Request{id, std::move(m.method), std::move(m.target),
-                                        std::move(m.body)});
+                [this](uint64_t id, net::HttpMessage message) {
+                  push(runtime::Request{id, std::move(message.method), std::move(message.target),
+                                        std::move(message.body)});
                 }),
         peers_(
             loop_.get(), settings.platform,
@@ -65,40 +82,41 @@
   void run() { ev_run(loop_.get(), 0); }
 
  private:
-  static size_t sockets(const Settings& s, double part) {
-    return static_cast<size_t>(part * s.platform.max_sockets);
+  // `share`: one of runtime/socket_budget.h.
+  static size_t sockets(const Settings& settings, double share) {
+    return static_cast<size_t>(share * settings.platform.max_sockets);
   }
   // Two processes that start at the same moment must not draw the same numbers.
-  static uint64_t seed(const Settings& s) {
+  static uint64_t seed(const Settings& settings) {
     std::random_device device;
-    uint64_t v = (static_cast<uint64_t>(device()) << 32) ^ device();
-    return v ^ std::hash<std::string>{}(s.platform.label);
+    const uint64_t random = (static_cast<uint64_t>(device()) << 32) ^ device();
+    return random ^ std::hash<std::string>{}(settings.platform.label);
   }
 
-  void push(runtime::Command c) { queue_.push_back(std::move(c)); }
+  void push(runtime::Command command) { queue_.push_back(std::move(command)); }
 
-  // Before each wait: all that has come in goes to the core as one batch.
+  // Effects may fail at once and queue further commands, so this goes on until there are none.
   void drain() {
     while (!queue_.empty()) {
       std::vector<runtime::Command> batch(std::make_move_iterator(queue_.begin()),
                                           std::make_move_iterator(queue_.end()));
       queue_.clear();
       controller_.run(batch, read_clocks());
-      runtime::Effects out = std::move(controller_.effects());
-      controller_.effects().clear();
-      for (const auto& line : out.log) {
-        auto level = line.level == runtime::LogLine::Level::kError  ? spdlog::level::err
-                     : line.level == runtime::LogLine::Level::kInfo ? spdlog::level::info
-                                                                    : spdlog::level::debug;
-        spdlog::log(level, "{}: {}", line.component, line.text);
-      }
-      // The other controllers first: they are to know of a cancellation before its user does.
-      for (const auto& p : out.peer) peers_.send(p.label, p.bytes);
-      for (const auto& r : out.replies) server_.reply(r.request, r.status, r.body, r.retry_after_s);
-      for (const auto& c : out.calls) client_.call(c);
+      const runtime::Effects effects = std::exchange(controller_.effects(), {});
+      carry_out(effects);
     }
   }
 
+  void carry_out(const runtime::Effects& effects) {
+    for (const runtime::LogLine& line : effects.log)
+      spdlog::log(log_level(line.level), "{}: {}", line.component, line.text);
+    // The other controllers first: they are to know of a cancellation before its user does.
+    for (const runtime::PeerSend& message : effects.peer) peers_.send(message.label, message.bytes);
+    for (const runtime::Reply& reply : effects.replies)
+      server_.reply(reply.request, reply.status, reply.body, reply.retry_after_s);
+    for (const runtime::Call& call : effects.calls) client_.call(call);
+  }
+
   std::unique_ptr<struct ev_loop, LoopDeleter> loop_;
   Controller controller_;
   std::deque<runtime::Command> queue_;
@@ -112,8 +130,8 @@
 }  // namespace
 
 void serve(const Settings& settings) {
-  Process service(settings);
-  service.run();
+  Process process(settings);
+  process.run();
 }
 
 }  // namespace rooksill::controller
--- a/src/rooksill/controller/process.h
+++ b/src/rooksill/controller/process.h
@@ -1,4 +1,4 @@
-// A controller: the core with the network around it.
+// A controller as a process: its core with the event loop and the network around it.
 #pragma once
 
 #include "rooksill/settings/settings.h"
--- a/src/rooksill/net/http_parser.cc
+++ b/src/rooksill/net/http_parser.cc
@@ -7,6 +7,13 @@
 namespace rooksill::net {
 namespace {
 
+// Statuses that tell the sender of a request what was wrong with it.
+constexpr int kMalformed = 400;
+constexpr int kBodyTooLarge = 413;
+constexpr int kHeadTooLarge = 431;
+
+constexpr size_t kMaxChunkSizeLine = 10;  // bytes; more digits than any body's size has
+
 bool token_char(unsigned char c) {
   return std::isalnum(c) ||
          std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
@@ -36,43 +43,51 @@
 
 }  // namespace
 
-HttpParser::State HttpParser::fail(int status) {
+void HttpParser::fail(int status) {
   phase_ = Phase::kError;
   error_status_ = status;
-  return State::kError;
 }
 
 bool HttpParser::parse_start_line(std::string_view line) {
-  auto first = line.find(' ');
+  return kind_ == Kind::kRequest ? parse_request_line(line) : parse_status_line(line);
+}
+
+// METHOD TARGET VERSION
+bool HttpParser::parse_request_line(std::string_view line) {
+  const auto first = line.find(' ');
+  const auto last = line.rfind(' ');
+  if (first == std::string_view::npos || first == 0 || last == first) return false;
+  const std::string_view method = line.substr(0, first);
+  const std::string_view target = line.substr(first + 1, last - first - 1);
+  if (!parse_version(line.substr(last + 1))) return false;
+  if (!std::all_of(method.begin(), method.end(), token_char)) return false;
+  if (target.empty() || target.front() != '/') return false;
+  for (unsigned char c : target)
+    if (c <= ' ' || c >= 127) return false;
+  message_.method = method;
+  message_.target = target;
+  return true;
+}
+
+// VERSION STATUS REASON, the reason being optional.
+bool HttpParser::parse_status_line(std::string_view line) {
+  const auto first = line.find(' ');
   if (first == std::string_view::npos || first == 0) return false;
-  if (kind_ == Kind::kRequest) {
-    auto last = line.rfind(' ');
-    if (last == first) return false;
-    std::string_view method = line.substr(0, first);
-    std::string_view target = line.substr(first + 1, last - first - 1);
-    std::string_view version = line.substr(last + 1);
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-    if (!std::all_of(method.begin(), method.end(), token_char)) return false;
-    if (target.empty() || target.front() != '/') return false;
-    for (unsigned char c : target)
-      if (c <= ' ' || c >= 127) return false;
-    message_.method = method;
-    message_.target = target;
-    message_.close = version == "HTTP/1.0";
-    return true;
-  }
-  std::string_view version = line.substr(0, first);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-  std::string_view rest = line.substr(first + 1);
+  if (!parse_version(line.substr(0, first))) return false;
+  const std::string_view rest = line.substr(first + 1);
   if (rest.size() < 3 || (rest.size() > 3 && rest[3] != ' ')) return false;
   int status = 0;
-  for (int i = 0; i < 3; ++i) {
-    char c = rest[static_cast<size_t>(i)];
+  for (char c : rest.substr(0, 3)) {
     if (c < '0' || c > '9') return false;
     status = status * 10 + (c - '0');
   }
   if (status < 100) return false;
   message_.status = status;
+  return true;
+}
+
+bool HttpParser::parse_version(std::string_view version) {
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
   message_.close = version == "HTTP/1.0";
   return true;
 }
@@ -122,87 +137,104 @@
   return !first;
 }
 
+HttpParser::State HttpParser::feed(std::string_view data, size_t& used) {
+  used = 0;
+  while (phase_ != Phase::kDone && phase_ != Phase::kError) {
+    if (used >= data.size()) return State::kNeedMore;
+    if (phase_ == Phase::kBody || phase_ == Phase::kChunkData)
+      used += take_body(data.substr(used));
+    else
+      take_character(data[used++]);
+  }
+  return phase_ == Phase::kDone ? State::kDone : State::kError;
+}
+
+size_t HttpParser::take_body(std::string_view data) {
+  const size_t size = std::min(remaining_, data.size());
+  message_.body.append(data.substr(0, size));
+  remaining_ -= size;
+  if (remaining_ == 0) {
+    phase_ = phase_ == Phase::kBody ? Phase::kDone : Phase::kChunkEnd;
+    line_.clear();
+  }
+  return size;
+}
+
+void HttpParser::take_character(char c) {
+  switch (phase_) {
+    case Phase::kHead:
+      return take_head(c);
+    case Phase::kChunkSize:
+      return take_chunk_size(c);
+    case Phase::kChunkEnd:
+      return take_chunk_end(c);
+    case Phase::kTrailer:
+      return take_trailer(c);
+    case Phase::kBody:
+    case Phase::kChunkData:
+    case Phase::kDone:
+    case Phase::kError:
+      return;
+  }
+}
+
+void HttpParser::take_head(char c) {
+  head_.push_back(c);
+  if (head_.size() > max_head_) return fail(kHeadTooLarge);
+  if (c != '\n') return;
+  if (head_ == "\r\n") return head_.clear();  // an empty line before a message
+  if (head_.size() < 4 || !head_.ends_with("\r\n\r\n")) return;
+  if (!parse_head()) return fail(kMalformed);
+  if (has_length_ && remaining_ > max_body_) return fail(kBodyTooLarge);
+  if (chunked_)
+    phase_ = Phase::kChunkSize;
+  else
+    phase_ = remaining_ > 0 ? Phase::kBody : Phase::kDone;
+}
+
 // Collects a short line (chunk size or trailer); true when it is complete.
 bool HttpParser::take_line(char c) {
   line_.push_back(c);
   return c == '\n';
 }
 
-HttpParser::State HttpParser::feed(std::string_view data, size_t& used) {
-  used = 0;
-  while (phase_ != Phase::kDone) {
-    if (phase_ == Phase::kError) return State::kError;
-    if (used >= data.size()) return State::kNeedMore;
-    switch (phase_) {
-      case Phase::kHead: {
-        char c = data[used++];
-        head_.push_back(c);
-        if (head_.size() > max_head_) return fail(431);
-        if (c != '\n' || head_.size() < 4 || head_.compare(head_.size() - 4, 4, "\r\n\r\n") != 0) {
-          if (c == '\n' && head_ == "\r\n") head_.clear();  // an empty line before a message
-          break;
-        }
-        if (!parse_head()) return fail(400);
-        if (has_length_ && remaining_ > max_body_) return fail(413);
-        if (chunked_) {
-          phase_ = Phase::kChunkSize;
-        } else {
-          phase_ = remaining_ > 0 ? Phase::kBody : Phase::kDone;
-        }
-        break;
-      }
-      case Phase::kBody:
-      case Phase::kChunkData: {
-        size_t n = std::min(remaining_, data.size() - used);
-        message_.body.append(data.substr(used, n));
-        used += n;
-        remaining_ -= n;
-        if (remaining_ == 0) {
-          phase_ = phase_ == Phase::kBody ? Phase::kDone : Phase::kChunkEnd;
-          line_.clear();
-        }
-        break;
-      }
-      case Phase::kChunkEnd:
-        if (take_line(data[used++])) {
-          if (line_ != "\r\n") return fail(400);
-          line_.clear();
-          phase_ = Phase::kChunkSize;
-        } else if (line_.size() > 2) {
-          return fail(400);
-        }
-        break;
-      case Phase::kChunkSize: {
-        if (!take_line(data[used++])) {
-          if (line_.size() > 10) return fail(400);
-          break;
-        }
-        size_t n = 0, digits = 0;
-        for (; digits + 2 < line_.size(); ++digits) {
-          unsigned char c = static_cast<unsigned char>(line_[digits]);
-          if (!std::isxdigit(c)) return fail(400);
-          n = n * 16 + static_cast<size_t>(std::isdigit(c) ? c - '0' : std::tolower(c) - 'a' + 10);
-        }
-        if (digits == 0 || line_[digits] != '\r') return fail(400);
-        line_.clear();
-        if (message_.body.size() + n > max_body_) return fail(413);
-        remaining_ = n;
-        phase_ = n > 0 ? Phase::kChunkData : Phase::kTrailer;
-        break;
-      }
-      case Phase::kTrailer:
-        if (++trailer_bytes_ > max_head_) return fail(431);
-        if (take_line(data[used++])) {
-          if (line_ == "\r\n") phase_ = Phase::kDone;
-          line_.clear();
-        }
-        break;
-      case Phase::kDone:
-      case Phase::kError:
-        break;
-    }
+void HttpParser::take_chunk_size(char c) {
+  if (!take_line(c)) {
+    if (line_.size() > kMaxChunkSizeLine) fail(kMalformed);
+    return;
   }
-  return State::kDone;
+  size_t size = 0;
+  size_t digits = 0;
+  for (; digits + 2 < line_.size(); ++digits) {
+    const auto digit = static_cast<unsigned char>(line_[digits]);
+    if (!std::isxdigit(digit)) return fail(kMalformed);
+    const int value = std::isdigit(digit) ? digit - '0' : std::tolower(digit) - 'a' + 10;
+    size = size * 16 + static_cast<size_t>(value);
+  }
+  if (digits == 0 || line_[digits] != '\r') return fail(kMalformed);
+  line_.clear();
+  if (message_.body.size() + size > max_body_) return fail(kBodyTooLarge);
+  remaining_ = size;
+  phase_ = size > 0 ? Phase::kChunkData : Phase::kTrailer;
+}
+
+// The line end after a chunk's data.
+void HttpParser::take_chunk_end(char c) {
+  if (!take_line(c)) {
+    if (line_.size() > 2) fail(kMalformed);
+    return;
+  }
+  if (line_ != "\r\n") return fail(kMalformed);
+  line_.clear();
+  phase_ = Phase::kChunkSize;
+}
+
+// Trailers are read and dropped.
+void HttpParser::take_trailer(char c) {
+  if (++trailer_bytes_ > max_head_) return fail(kHeadTooLarge);
+  if (!take_line(c)) return;
+  if (line_ == "\r\n") phase_ = Phase::kDone;
+  line_.clear();
 }
 
 HttpMessage HttpParser::take() {
--- a/src/rooksill/net/http_parser.h
+++ b/src/rooksill/net/http_parser.h
@@ -1,4 +1,5 @@
-// Strict, bounded, incremental parser for HTTP/1.1 messages.
+// Strict, bounded, incremental parser for HTTP/1.1 messages. What is unusual is refused, not
+// guessed at: two parties that read one message in two ways are how requests get smuggled.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +9,11 @@
 namespace rooksill::net {
 
 struct HttpMessage {
-  std::string method, target;  // requests
-  int status = 0;              // responses
+  std::string method;  // of a request
+  std::string target;  // of a request
+  int status = 0;      // of a response
   std::string body;
-  bool close = false;
+  bool close = false;  // the sender closes the connection after this message
 };
 
 class HttpParser {
@@ -19,22 +21,35 @@
   enum class Kind { kRequest, kResponse };
   enum class State { kNeedMore, kDone, kError };
 
+  // Bounds in bytes; the head is all up to the body, start line included.
   HttpParser(Kind kind, size_t max_head, size_t max_body)
       : kind_(kind), max_head_(max_head), max_body_(max_body) {}
 
-  // Consumes bytes up to the end of one message; `used` says how many.
+  // Consumes bytes up to the end of one message; `used` says how many. After kDone the message can
+  // be taken; kError is final.
   State feed(std::string_view data, size_t& used);
+  // The complete message. The parser is then ready for the next one.
   HttpMessage take();
   // The status that tells the sender what was wrong (requests).
   int error_status() const { return error_status_; }
+  // Whether no part of a message has been read.
   bool idle() const { return phase_ == Phase::kHead && head_.empty(); }
 
  private:
   enum class Phase { kHead, kBody, kChunkSize, kChunkData, kChunkEnd, kTrailer, kDone, kError };
 
-  State fail(int status);
+  void fail(int status);
+  void take_character(char c);
+  size_t take_body(std::string_view data);
+  void take_head(char c);
+  void take_chunk_size(char c);
+  void take_chunk_end(char c);
+  void take_trailer(char c);
   bool parse_head();
   bool parse_start_line(std::string_view line);
+  bool parse_request_line(std::string_view line);
+  bool parse_status_line(std::string_view line);
+  bool parse_version(std::string_view version);
   bool parse_header(std::string_view line);
   bool take_line(char c);
 
