--- a/src/rooksill/agent/command_sender.cc
+++ b/src/rooksill/agent/command_sender.cc
@@ -99,8 +99,8 @@
   worker->tokens.in_flight = model::kNoFencingToken;
   workers_.mark_changed(*worker);
   const bool answered = done.status == kOk || done.status == kConflict;
-  const auto heartbeat = answered ? wire::parse_heartbeat(done.body) : std::nullopt;
-  if (heartbeat && heartbeat->machine == sent.machine)
+  const auto heartbeat = wire::parse_heartbeat(done.body);
+  if (answered && heartbeat && heartbeat->machine == sent.machine)
     on_acknowledged(*worker, done.status, *heartbeat);
   else
     on_not_acknowledged(*worker, sent, done.refused);
