--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -45,15 +45,13 @@
   }
 
   template <typename... Args>
-  void info(std::string component, fmt::format_string<Args...> format, Args&&... args) {
-    log(LogLine::Level::kInfo, std::move(component),
-        fmt::format(format, std::forward<Args>(args)...));
+  void info(const std::string& component, fmt::format_string<Args...> format, Args&&... args) {
+    log(LogLine::Level::kInfo, component, fmt::format(format, std::forward<Args>(args)...));
   }
   template <typename... Args>
-  void debug(std::string component, fmt::format_string<Args...> format, Args&&... args) {
+  void debug(const std::string& component, fmt::format_string<Args...> format, Args&&... args) {
     if (!debug_log_) return;
-    log(LogLine::Level::kDebug, std::move(component),
-        fmt::format(format, std::forward<Args>(args)...));
+    log(LogLine::Level::kDebug, component, fmt::format(format, std::forward<Args>(args)...));
   }
   void enable_debug_log(bool enabled) { debug_log_ = enabled; }
 
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -60,7 +60,7 @@
 
 // host:port, with a port in digits.
 std::string address(const json& object, const char* name, const std::string& prefix) {
-  const std::string value = text(object, name, prefix);
+  std::string value = text(object, name, prefix);
   const auto colon = value.rfind(':');
   const bool valid = colon != std::string::npos && colon > 0 && colon + 1 < value.size() &&
                      std::all_of(value.begin() + static_cast<long>(colon) + 1, value.end(),
--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -12,9 +12,7 @@
 namespace runner {
 
 using standins::CutMode;
-using standins::FaultInjector;
 using standins::Link;
-using standins::UserJob;
 using standins::World;
 
 namespace {
