--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -48,7 +48,7 @@
 void PartitionOwner::activate(int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
   owned_.acquire(partition);
-  ctx_.info("holder", "partition {} taken, token {}", partition,
+  ctx_.info("partition", "partition {} taken, token {}", partition,
             model::number(lease.fencing_token));
   drop_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
@@ -70,7 +70,7 @@
     if (mine && !owns(b) && replica_.synced_revision >= lease.revision) {
       activate(b);
     } else if (owned_.acquired(b) && !owns(b)) {
-      ctx_.info("holder", "block {} given up, now with {}", b, lease.owner);
+      ctx_.info("partition", "partition {} given up, now with {}", b, lease.owner);
       owned_.release(b);
       drop_workers(b);
     }
