--- a/src/rooksill/fleet/zone_floors.cc
+++ b/src/rooksill/fleet/zone_floors.cc
@@ -119,7 +119,9 @@
   double best_price = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : replica_.types)
     for (const auto& in_zone : type.zones) {
-      const Offer offer{{name, false}, in_zone};
+      Offer offer;
+      offer.pool.type = name;
+      offer.zone = in_zone;
       const double cpus = type.capacity.cpus;
       const double price = zone == kAllZones && cpus > 0 ? type.price / cpus : type.price;
       if (zone != kAllZones && in_zone != zone) continue;
