--- a/tests/standins/fault_injector.cc
+++ b/tests/standins/fault_injector.cc
@@ -93,13 +93,17 @@
   set_temporarily(targets_.network.message_faults().lost_answer_chance, chance, for_s);
 }
 
-void FaultInjector::delay_requests(double chance, double up_to_s, double for_s) {
+void FaultInjector::delay_temporarily(RandomDelay& delay, double chance, double up_to_s,
+                                      double for_s) {
   extend_faults(for_s + up_to_s);
-  RandomDelay& delay = targets_.network.message_faults().late_requests;
   delay.up_to_s = up_to_s;
   set_temporarily(delay.chance, chance, for_s);
 }
 
+void FaultInjector::delay_requests(double chance, double up_to_s, double for_s) {
+  delay_temporarily(targets_.network.message_faults().late_requests, chance, up_to_s, for_s);
+}
+
 void FaultInjector::delay_transactions(double chance, double up_to_s, double for_s) {
   extend_faults(for_s + up_to_s);
   RandomDelay& delay = targets_.network.message_faults().late_transactions;
@@ -108,17 +112,11 @@
 }
 
 void FaultInjector::delay_commands(double chance, double up_to_s, double for_s) {
-  extend_faults(for_s + up_to_s);
-  RandomDelay& delay = targets_.network.message_faults().late_commands;
-  delay.up_to_s = up_to_s;
-  set_temporarily(delay.chance, chance, for_s);
+  delay_temporarily(targets_.network.message_faults().late_commands, chance, up_to_s, for_s);
 }
 
 void FaultInjector::duplicate_heartbeats(double chance, double up_to_s, double for_s) {
-  extend_faults(for_s + up_to_s);
-  RandomDelay& delay = targets_.network.message_faults().duplicate_heartbeats;
-  delay.up_to_s = up_to_s;
-  set_temporarily(delay.chance, chance, for_s);
+  delay_temporarily(targets_.network.message_faults().duplicate_heartbeats, chance, up_to_s, for_s);
 }
 
 // ---- store ---------------------------------------------------------------------------------
--- a/tests/standins/fault_injector.h
+++ b/tests/standins/fault_injector.h
@@ -90,6 +90,8 @@
 
  private:
   void extend_faults(double for_s);
+  // Delays some of the messages for a while, each by up to `up_to_s` seconds.
+  void delay_temporarily(RandomDelay& delay, double chance, double up_to_s, double for_s);
   // Sets the value, and back to 0 after `for_s`.
   void set_temporarily(double& value, double to, double for_s);
   // Offers machines that are alive until so many were struck: `strike` says whether it did.
