--- a/src/rooksill/agent/gang_attempts.cc
+++ b/src/rooksill/agent/gang_attempts.cc
@@ -34,7 +34,7 @@
   for_each_task(job, [this](const model::TaskShard&, const model::TaskRef& ref,
                             const model::TaskState& task) {
     Worker* worker = task.machine.empty() ? nullptr : workers_.find(task.machine);
-    if (worker != nullptr && evicted_.evict(ref, task.attempt)) workers_.mark_changed(*worker);
+    if (worker != nullptr && evicted_.mark_evicted(ref, task.attempt)) workers_.mark_changed(*worker);
     return true;
   });
 }
--- a/src/rooksill/agent/reconciler.cc
+++ b/src/rooksill/agent/reconciler.cc
@@ -57,10 +57,10 @@
       continue;
     }
     matched.insert(reported.task);
-    if (!changes_.pending(reported.task)) append(reconcile_reported(worker, reported));
+    if (!changes_.is_pending(reported.task)) append(reconcile_reported(worker, reported));
   }
   for (const auto& ref : replica_.placed_on(worker.name))
-    if (matched.count(ref) == 0 && !changes_.pending(ref))
+    if (matched.count(ref) == 0 && !changes_.is_pending(ref))
       append(reconcile_unreported(worker, ref));
   if (worker.running_since.size() > kStartTimesPerTask * (worker.tasks.size() + kSpareTasks))
     std::erase_if(worker.running_since,
--- a/src/rooksill/changes/owned_partitions.h
+++ b/src/rooksill/changes/owned_partitions.h
@@ -19,22 +19,22 @@
 
   // Acquires a partition under the lease that the replica has of it now.
   void acquire(int partition);
-  void release(int partition) { leases_.erase(partition); }
+  void release(int partition) { lease_revisions_.erase(partition); }
 
   // Acquired and not released, whatever became of its lease.
-  bool acquired(int partition) const { return leases_.count(partition) != 0; }
+  bool has_acquired(int partition) const { return lease_revisions_.count(partition) != 0; }
   // Whether the lease that the partition was acquired under is still the present one.
   bool owns(int partition) const;
   // Whether the partition is owned under the lease with this revision.
-  bool owns_under(int partition, model::Revision lease) const;
+  bool owns_under_lease(int partition, model::Revision lease_revision) const;
 
-  bool empty() const { return leases_.empty(); }
+  bool empty() const { return lease_revisions_.empty(); }
   // The partitions acquired, in ascending order.
-  std::vector<int> list() const;
+  std::vector<int> acquired_partitions() const;
 
  private:
   const store::Replica& replica_;
-  std::map<int, model::Revision> leases_;  // by partition
+  std::map<int, model::Revision> lease_revisions_;  // by partition
 };
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/shard_changes.cc
+++ b/src/rooksill/changes/shard_changes.cc
@@ -5,37 +5,37 @@
 namespace rooksill::changes {
 
 const TaskChange* ShardChanges::find(uint32_t index) const {
-  for (const ByIndex* changes : {&sent_, &waiting_})
+  for (const ChangesByIndex* changes : {&sent_, &pending_})
     if (auto it = changes->find(index); it != changes->end()) return &it->second;
   return nullptr;
 }
 
 void ShardChanges::add(uint32_t index, TaskChange change, double now) {
-  if (waiting_.empty()) waiting_since_ = now;
-  auto before = waiting_.find(index);
-  if (change.kind == TaskChange::Kind::kPlaced && before != waiting_.end() &&
-      before->second.kind == TaskChange::Kind::kLost) {
-    change.replaces = before->second.machine;
-    waiting_.erase(before);
+  if (pending_.empty()) pending_since_ = now;
+  auto previous = pending_.find(index);
+  if (change.kind == TaskChange::Kind::kPlaced && previous != pending_.end() &&
+      previous->second.kind == TaskChange::Kind::kLost) {
+    change.previous_machine = previous->second.machine;
+    pending_.erase(previous);
   }
-  waiting_.insert({index, std::move(change)});
+  pending_.insert({index, std::move(change)});
 }
 
-ShardChanges::ByIndex ShardChanges::take_waiting() { return std::exchange(waiting_, {}); }
+ShardChanges::ChangesByIndex ShardChanges::extract_pending() { return std::exchange(pending_, {}); }
 
 void ShardChanges::mark_sent(model::Revision shard_revision) {
-  sent_ = std::exchange(waiting_, {});
-  sent_on_ = shard_revision;
-  progress_ = Progress::kSent;
+  sent_ = std::exchange(pending_, {});
+  sent_revision_ = shard_revision;
+  send_state_ = SendState::kSent;
 }
 
-ShardChanges::ByIndex ShardChanges::take_sent() {
-  progress_ = Progress::kWaiting;
+ShardChanges::ChangesByIndex ShardChanges::extract_sent() {
+  send_state_ = SendState::kIdle;
   return std::exchange(sent_, {});
 }
 
-void ShardChanges::return_sent() {
-  for (auto& change : take_sent()) waiting_.insert(change);
+void ShardChanges::requeue_sent() {
+  for (auto& change : extract_sent()) pending_.insert(change);
 }
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/shard_changes.h
+++ b/src/rooksill/changes/shard_changes.h
@@ -13,49 +13,49 @@
 // certain. Meanwhile new ones may wait beside them; those are not sent before that.
 class ShardChanges {
  public:
-  using ByIndex = std::map<uint32_t, TaskChange>;  // by the task's index in the shard
+  using ChangesByIndex = std::map<uint32_t, TaskChange>;  // by the task's index in the shard
 
-  enum class Progress {
-    kWaiting,      // nothing was sent, or what was sent has a certain outcome
+  enum class SendState {
+    kIdle,      // nothing was sent, or what was sent has a certain outcome
     kSent,         // a transaction has no answer yet
     kReadingBack,  // it failed or may have failed: the keys it concerns are being read
   };
 
   // The change of a task that is sent, or else the one that waits; nullptr if there is none.
   const TaskChange* find(uint32_t index) const;
-  const ByIndex& waiting() const { return waiting_; }
-  const ByIndex& sent() const { return sent_; }
+  const ChangesByIndex& pending() const { return pending_; }
+  const ChangesByIndex& sent() const { return sent_; }
 
   // Whether changes were sent whose outcome is not certain.
-  bool in_flight() const { return progress_ != Progress::kWaiting; }
+  bool is_in_flight() const { return send_state_ != SendState::kIdle; }
   // The shard's revision that the sent changes rest on: none of them can be applied any more once
   // it has changed.
-  model::Revision sent_on() const { return sent_on_; }
+  model::Revision sent_revision() const { return sent_revision_; }
   // When the oldest of the waiting changes came, in seconds of the steady clock.
-  double waiting_since() const { return waiting_since_; }
+  double pending_since() const { return pending_since_; }
 
   // Adds a change that waits. A placement after a loss that still waits takes its place and records
   // both. Any other task that has a change waiting keeps that one.
   void add(uint32_t index, TaskChange change, double now);
   // Removes a change that waits. Returns the position after it.
-  ByIndex::const_iterator remove_waiting(ByIndex::const_iterator position) {
-    return waiting_.erase(position);
+  ChangesByIndex::const_iterator remove_pending(ChangesByIndex::const_iterator position) {
+    return pending_.erase(position);
   }
-  ByIndex take_waiting();
+  ChangesByIndex extract_pending();
 
   void mark_sent(model::Revision shard_revision);
-  void mark_reading_back() { progress_ = Progress::kReadingBack; }
+  void mark_reading_back() { send_state_ = SendState::kReadingBack; }
   // The outcome is certain: removes what was sent.
-  ByIndex take_sent();
+  ChangesByIndex extract_sent();
   // What was sent waits again, except where a newer change waits already.
-  void return_sent();
+  void requeue_sent();
 
  private:
-  ByIndex waiting_;
-  ByIndex sent_;
-  Progress progress_ = Progress::kWaiting;
-  model::Revision sent_on_ = model::kNoRevision;
-  double waiting_since_ = 0;
+  ChangesByIndex pending_;
+  ChangesByIndex sent_;
+  SendState send_state_ = SendState::kIdle;
+  model::Revision sent_revision_ = model::kNoRevision;
+  double pending_since_ = 0;
 };
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -29,49 +29,49 @@
 
 ShardTransactionBuilder::ShardTransactionBuilder(runtime::Context& context,
                                                  const store::Replica& replica,
-                                                 const OwnedPartitions& owned)
-    : context_(context), replica_(replica), owned_(owned) {}
+                                                 const OwnedPartitions& owned_partitions)
+    : context_(context), replica_(replica), owned_partitions_(owned_partitions) {}
 
-ShardTransactionBuilder::Added ShardTransactionBuilder::add(const model::ShardId& id,
+ShardTransactionBuilder::AddResult ShardTransactionBuilder::add(const model::ShardId& id,
                                                             ShardChanges& changes,
                                                             std::vector<RemovedChange>& removed) {
   const model::Job* job = replica_.job(id.job);
   if (job == nullptr || id.index >= job->shards.size()) {
-    for (auto& [index, change] : changes.take_waiting())
+    for (auto& [index, change] : changes.extract_pending())
       removed.push_back({index, std::move(change)});
-    return Added::kNothing;
+    return AddResult::kNoChanges;
   }
-  ShardUpdate update(replica_, owned_, *job, id.index, changes);
-  const bool any_left = update.apply();
-  const bool fits = any_left && update.encode(context_.settings.platform.state_value_bytes);
+  ShardUpdate update(replica_, owned_partitions_, *job, id.index, changes);
+  const bool has_changes = update.apply();
+  const bool fits = has_changes && update.encode(context_.settings.platform.state_value_bytes);
   removed.insert(removed.end(), update.removed().begin(), update.removed().end());
-  if (!any_left) return Added::kNothing;
-  if (!fits) return Added::kTooLarge;
+  if (!has_changes) return AddResult::kNoChanges;
+  if (!fits) return AddResult::kTooLarge;
   Preconditions preconditions = update.preconditions();
-  if (!has_room_for(preconditions)) return Added::kFull;
+  if (!has_capacity_for(preconditions)) return AddResult::kFull;
   preconditions_.merge(preconditions);
   write_shard(id, update);
   if (update.finishes_job()) write_job_end(*job);
-  count_kinds(changes);
+  count_changes(changes);
   changes.mark_sent(job->shards[id.index].revision);
   shards_.push_back(id);
-  return Added::kShard;
+  return AddResult::kAdded;
 }
 
-bool ShardTransactionBuilder::has_room_for(const Preconditions& added) const {
+bool ShardTransactionBuilder::has_capacity_for(const Preconditions& added) const {
   if (shards_.empty()) return true;
-  const auto fresh = std::count_if(added.begin(), added.end(), [&](const auto& precondition) {
+  const auto new_preconditions = std::count_if(added.begin(), added.end(), [&](const auto& precondition) {
     return preconditions_.count(precondition.first) == 0;
   });
-  const size_t most = context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
-  return preconditions_.size() + static_cast<size_t>(fresh) <= most;
+  const size_t max_preconditions = context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
+  return preconditions_.size() + static_cast<size_t>(new_preconditions) <= max_preconditions;
 }
 
 void ShardTransactionBuilder::write_shard(const model::ShardId& id, ShardUpdate& update) {
   const std::string key = wire::shard_key(id.job, id.index);
-  if (update.value_bytes() > 0) bytes_ += update.value_bytes() + kWriteOverheadBytes;
+  if (update.value_bytes() > 0) estimated_bytes_ += update.value_bytes() + kWriteOverheadBytes;
   keys_.push_back(key);
-  writes_.push_back({key, update.take_value(), 0});
+  writes_.push_back({key, update.extract_value(), 0});
 }
 
 // A few bytes: they count as part of the shard's overhead.
@@ -84,15 +84,15 @@
   writes_.push_back({key, wire::encode_job(ended), 0});
 }
 
-void ShardTransactionBuilder::count_kinds(const ShardChanges& changes) {
-  for (const auto& [index, change] : changes.waiting()) context_.count(counter_name(change.kind));
+void ShardTransactionBuilder::count_changes(const ShardChanges& changes) {
+  for (const auto& [index, change] : changes.pending()) context_.count(counter_name(change.kind));
 }
 
 std::vector<store::Precondition> ShardTransactionBuilder::preconditions() const {
-  std::vector<store::Precondition> out;
-  out.reserve(preconditions_.size());
-  for (const auto& [key, revision] : preconditions_) out.push_back({key, revision});
-  return out;
+  std::vector<store::Precondition> result;
+  result.reserve(preconditions_.size());
+  for (const auto& [key, revision] : preconditions_) result.push_back({key, revision});
+  return result;
 }
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/shard_update.cc
+++ b/src/rooksill/changes/shard_update.cc
@@ -17,22 +17,22 @@
 bool is_gang(const model::Job& job) { return job.spec.shape == model::Shape::kGang; }
 
 // Whether where a task may be placed depends on where the job's others are, in whatever shard.
-bool places_depend(const model::Job& job) { return job.spec.spread || job.spec.one_zone; }
+bool has_dependent_placements(const model::Job& job) { return job.spec.spread || job.spec.one_zone; }
 
 }  // namespace
 
-model::Revision placement_basis(const store::Replica& replica, const model::Job& job,
+model::Revision placement_basis_revision(const store::Replica& replica, const model::Job& job,
                                 int partition) {
   model::Revision newest = replica.leases[static_cast<size_t>(partition)].revision;
-  if (places_depend(job))
+  if (has_dependent_placements(job))
     for (const model::TaskShard& shard : job.shards) newest = std::max(newest, shard.revision);
   return newest;
 }
 
-ShardUpdate::ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned,
+ShardUpdate::ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned_partitions,
                          const model::Job& job, uint32_t shard, ShardChanges& changes)
     : replica_(replica),
-      owned_(owned),
+      owned_partitions_(owned_partitions),
       job_(job),
       shard_(job.shards[shard]),
       id_{job.spec.id, shard},
@@ -40,50 +40,50 @@
       tasks_(shard_.tasks) {}
 
 bool ShardUpdate::apply() {
-  for (auto it = changes_.waiting().begin(); it != changes_.waiting().end();)
-    it = apply_change(it->second, tasks_[it->first]) ? std::next(it) : remove(it);
-  if (is_gang(job_)) keep_gang_whole();
-  judge_ends();
-  return !changes_.waiting().empty();
+  for (auto it = changes_.pending().begin(); it != changes_.pending().end();)
+    it = apply_change(it->second, tasks_[it->first]) ? std::next(it) : remove_change(it);
+  if (is_gang(job_)) enforce_gang_atomicity();
+  update_end_flags();
+  return !changes_.pending().empty();
 }
 
-void ShardUpdate::judge_ends() {
+void ShardUpdate::update_end_flags() {
   uint32_t done = job_.done - shard_.done;
-  bool on_machines = false;
+  bool has_placed_tasks = false;
   for (const model::TaskState& task : tasks_) {
     done += task.done ? 1 : 0;
-    on_machines = on_machines || !task.machine.empty();
+    has_placed_tasks = has_placed_tasks || !task.machine.empty();
   }
   finishes_job_ = done == job_.spec.tasks && !job_.over();
-  deletes_shard_ = finishes_job_ || (job_.over() && !on_machines);
+  deletes_shard_ = finishes_job_ || (job_.over() && !has_placed_tasks);
 }
 
 // A change is worth what its owner knew. Once the partition was with another owner in between, that
 // one may have started a lost task in place, which changes nothing in the store: so each lease that
 // a change rests on has to be the one it was decided under, that of the machine left as well.
-bool ShardUpdate::owned_throughout(const TaskChange& change) const {
-  if (!owned_.owns_under(change.machine.partition, change.machine.lease)) return false;
-  return !change.replaces || owned_.owns_under(change.replaces->partition, change.replaces->lease);
+bool ShardUpdate::has_current_leases(const TaskChange& change) const {
+  if (!owned_partitions_.owns_under_lease(change.machine.partition, change.machine.lease_revision)) return false;
+  return !change.previous_machine || owned_partitions_.owns_under_lease(change.previous_machine->partition, change.previous_machine->lease_revision);
 }
 
 bool ShardUpdate::apply_change(const TaskChange& change, model::TaskState& state) const {
-  if (!owned_throughout(change)) return false;
+  if (!has_current_leases(change)) return false;
   return is_placement(change) ? apply_placement(change, state) : apply_end(change, state);
 }
 
 bool ShardUpdate::apply_placement(const TaskChange& change, model::TaskState& state) const {
-  const bool reported_gone =
-      change.replaces && !state.done && state.machine == change.replaces->name;
+  const bool is_previous_attempt_gone =
+      change.previous_machine && !state.done && state.machine == change.previous_machine->name;
   // All tasks of a gang share their attempt's number.
-  const bool next_attempt =
+  const bool is_next_attempt =
       is_gang(job_) ? change.attempt > state.attempt : change.attempt == state.attempt + 1;
-  if (!next_attempt || job_.over()) return false;
-  if (!reported_gone && !replica_.waits(state)) return false;
+  if (!is_next_attempt || job_.over()) return false;
+  if (!is_previous_attempt_gone && !replica_.waits(state)) return false;
   if (replica_.machine_gone(change.machine.name)) return false;
-  if (change.basis != placement_basis(replica_, job_, change.machine.partition)) return false;
+  if (change.basis_revision != placement_basis_revision(replica_, job_, change.machine.partition)) return false;
   // Taken from a machine that is in no list: only if the lists are known as far as this shard. With
   // older lists, a machine that was just assigned would look gone.
-  if (!state.machine.empty() && !reported_gone && !replica_.lists_cover(shard_)) return false;
+  if (!state.machine.empty() && !is_previous_attempt_gone && !replica_.lists_cover(shard_)) return false;
   state.machine = change.machine.name;
   state.attempt = change.attempt;
   return true;
@@ -98,12 +98,12 @@
 }
 
 // All tasks of a gang's attempt are placed by one change, or none is; and all are done when one is.
-void ShardUpdate::keep_gang_whole() {
+void ShardUpdate::enforce_gang_atomicity() {
   const auto is_done = [](const model::TaskState& task) { return task.done; };
   if (std::any_of(tasks_.begin(), tasks_.end(), is_done)) return complete_gang();
-  if (gang_placed_whole()) return;
-  for (auto it = changes_.waiting().begin(); it != changes_.waiting().end();)
-    it = is_placement(it->second) ? remove(it) : std::next(it);
+  if (is_gang_fully_placed()) return;
+  for (auto it = changes_.pending().begin(); it != changes_.pending().end();)
+    it = is_placement(it->second) ? remove_change(it) : std::next(it);
 }
 
 void ShardUpdate::complete_gang() {
@@ -113,9 +113,9 @@
   }
 }
 
-bool ShardUpdate::gang_placed_whole() const {
-  const auto& waiting = changes_.waiting();
-  const auto placements = std::count_if(waiting.begin(), waiting.end(), [](const auto& change) {
+bool ShardUpdate::is_gang_fully_placed() const {
+  const auto& pending = changes_.pending();
+  const auto placements = std::count_if(pending.begin(), pending.end(), [](const auto& change) {
     return is_placement(change.second);
   });
   return static_cast<size_t>(placements) == tasks_.size() &&
@@ -125,12 +125,12 @@
 }
 
 // Removes a change that waits, and takes its effect back.
-ShardChanges::ByIndex::const_iterator ShardUpdate::remove(
-    ShardChanges::ByIndex::const_iterator position) {
+ShardChanges::ChangesByIndex::const_iterator ShardUpdate::remove_change(
+    ShardChanges::ChangesByIndex::const_iterator position) {
   const auto& [index, change] = *position;
   tasks_[index] = shard_.tasks[index];
   removed_.push_back({index, change});
-  return changes_.remove_waiting(position);
+  return changes_.remove_pending(position);
 }
 
 // The value must be one that the store takes, also with the limits to come. With names of unusual
@@ -146,32 +146,32 @@
     value_ = wire::encode_shard(tasks_);
     value_bytes_ = value_.dump().size();
   }
-  return !changes_.waiting().empty();
+  return !changes_.pending().empty();
 }
 
 bool ShardUpdate::remove_last_placement() {
-  const auto& waiting = changes_.waiting();
-  const auto last = std::find_if(waiting.rbegin(), waiting.rend(),
+  const auto& pending = changes_.pending();
+  const auto last = std::find_if(pending.rbegin(), pending.rend(),
                                  [](const auto& change) { return is_placement(change.second); });
-  if (last == waiting.rend()) return false;
-  remove(std::prev(last.base()));
+  if (last == pending.rend()) return false;
+  remove_change(std::prev(last.base()));
   return true;
 }
 
 Preconditions ShardUpdate::preconditions() const {
-  Preconditions out;
-  bool places = false;
-  for (const auto& [index, change] : changes_.waiting()) {
-    places = places || is_placement(change);
-    out[wire::lease_key(change.machine.partition)] = change.machine.lease;
-    if (change.replaces) out[wire::lease_key(change.replaces->partition)] = change.replaces->lease;
+  Preconditions result;
+  bool has_placement = false;
+  for (const auto& [index, change] : changes_.pending()) {
+    has_placement = has_placement || is_placement(change);
+    result[wire::lease_key(change.machine.partition)] = change.machine.lease_revision;
+    if (change.previous_machine) result[wire::lease_key(change.previous_machine->partition)] = change.previous_machine->lease_revision;
   }
-  out[wire::shard_key(id_.job, id_.index)] = shard_.revision;
-  if (places || deletes_shard_) out[wire::job_key(id_.job)] = job_.revision;
-  if (places && places_depend(job_))
+  result[wire::shard_key(id_.job, id_.index)] = shard_.revision;
+  if (has_placement || deletes_shard_) result[wire::job_key(id_.job)] = job_.revision;
+  if (has_placement && has_dependent_placements(job_))
     for (uint32_t i = 0; i < job_.shards.size(); ++i)
-      out[wire::shard_key(id_.job, i)] = job_.shards[i].revision;
-  return out;
+      result[wire::shard_key(id_.job, i)] = job_.shards[i].revision;
+  return result;
 }
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/shard_update.h
+++ b/src/rooksill/changes/shard_update.h
@@ -22,7 +22,7 @@
 // where a job's tasks depend on each other's places, all its shards. A transaction guards what is
 // known when it is sent; a placement whose basis has changed by then must not go out, or a decision
 // made on older knowledge would be written under newer guards.
-model::Revision placement_basis(const store::Replica& replica, const model::Job& job,
+model::Revision placement_basis_revision(const store::Replica& replica, const model::Job& job,
                                 int partition);
 
 // Preconditions by key: the revision that the key must still have.
@@ -39,7 +39,7 @@
 class ShardUpdate {
  public:
   // All arguments must outlive the update. `shard` is an index into the job's shards.
-  ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned, const model::Job& job,
+  ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned_partitions, const model::Job& job,
               uint32_t shard, ShardChanges& changes);
 
   // Applies the waiting changes to the tasks as the replica has them. False if none is left.
@@ -53,24 +53,24 @@
   // Whether the shard's key is deleted: what a job that is over leaves behind is of no use.
   bool deletes_shard() const { return deletes_shard_; }
   Preconditions preconditions() const;
-  nlohmann::json take_value() { return std::move(value_); }
+  nlohmann::json extract_value() { return std::move(value_); }
   size_t value_bytes() const { return value_bytes_; }
   const std::vector<RemovedChange>& removed() const { return removed_; }
 
  private:
-  bool owned_throughout(const TaskChange& change) const;
+  bool has_current_leases(const TaskChange& change) const;
   bool apply_change(const TaskChange& change, model::TaskState& state) const;
   bool apply_placement(const TaskChange& change, model::TaskState& state) const;
   static bool apply_end(const TaskChange& change, model::TaskState& state);
-  void keep_gang_whole();
+  void enforce_gang_atomicity();
   void complete_gang();
-  bool gang_placed_whole() const;
+  bool is_gang_fully_placed() const;
   bool remove_last_placement();
-  ShardChanges::ByIndex::const_iterator remove(ShardChanges::ByIndex::const_iterator position);
-  void judge_ends();
+  ShardChanges::ChangesByIndex::const_iterator remove_change(ShardChanges::ChangesByIndex::const_iterator position);
+  void update_end_flags();
 
   const store::Replica& replica_;
-  const OwnedPartitions& owned_;
+  const OwnedPartitions& owned_partitions_;
   const model::Job& job_;
   const model::TaskShard& shard_;
   const model::ShardId id_;
--- a/src/rooksill/changes/task_change.h
+++ b/src/rooksill/changes/task_change.h
@@ -14,7 +14,7 @@
 struct LeasedMachine {
   std::string name;
   int partition = 0;
-  model::Revision lease = model::kNoRevision;  // revision of the lease's key
+  model::Revision lease_revision = model::kNoRevision;  // revision of the lease's key
 };
 
 struct TaskChange {
@@ -42,9 +42,9 @@
 
   // Of a placement that also records the loss of the attempt before: the machine that reported
   // that attempt gone.
-  std::optional<LeasedMachine> replaces;
+  std::optional<LeasedMachine> previous_machine;
   // Of a placement: the newest revision among the keys that it was decided on.
-  model::Revision basis = model::kNoRevision;
+  model::Revision basis_revision = model::kNoRevision;
 };
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/task_change_listener.h
+++ b/src/rooksill/changes/task_change_listener.h
@@ -17,7 +17,7 @@
   virtual void on_change_removed(const model::TaskRef& task, const TaskChange& change) = 0;
 
   // Whether the cloud has announced that the machine will be taken.
-  virtual bool terminating(const std::string& machine) const = 0;
+  virtual bool is_terminating(const std::string& machine) const = 0;
 
  protected:
   ~TaskChangeListener() = default;
--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -9,23 +9,23 @@
 namespace rooksill::changes {
 
 namespace {
-constexpr int kMaxInFlight = 2;                 // transactions at the same time
-constexpr double kBackoff = 0.15;               // s, after the store refused a transaction
-constexpr double kGatherReports = 3;            // report intervals for which results are gathered
-constexpr size_t kMaxBytes = size_t{40} << 10;  // of a transaction, well below the store's limit
-constexpr double kTransactionShare = 0.6;       // of a second's writes that a transaction may take
-constexpr double kDecidedAhead = 0.25;          // s of writes that decisions may wait for
-constexpr double kMinDecidedAhead = 2;          // shards, however few writes there are
+constexpr int kMaxInFlightTransactions = 2;                 // transactions at the same time
+constexpr double kBackoffSeconds = 0.15;               // s, after the store refused a transaction
+constexpr double kGatherHeartbeats = 3;            // report intervals for which results are gathered
+constexpr size_t kMaxTransactionBytes = size_t{40} << 10;  // of a transaction, well below the store's limit
+constexpr double kTransactionWritesRatio = 0.6;       // of a second's writes that a transaction may take
+constexpr double kPlacementBacklogSeconds = 0.25;          // s of writes that decisions may wait for
+constexpr double kMinPlacementBacklogShards = 2;          // shards, however few writes there are
 }  // namespace
 
 TaskChangeQueue::TaskChangeQueue(runtime::Context& context, const store::Replica& replica,
                                  const store::Client& client, store::Committer& committer,
-                                 const OwnedPartitions& owned, TaskChangeListener& listener)
+                                 const OwnedPartitions& owned_partitions, TaskChangeListener& listener)
     : context_(context),
       replica_(replica),
       client_(client),
       committer_(committer),
-      owned_(owned),
+      owned_partitions_(owned_partitions),
       listener_(listener) {}
 
 // ---- pending changes -----------------------------------------------------------------------
@@ -35,13 +35,13 @@
   if (job == nullptr) return;
   listener_.on_change_added(task, change);
   const int partition = change.machine.partition;
-  change.machine.lease = replica_.leases[static_cast<size_t>(partition)].revision;
+  change.machine.lease_revision = replica_.leases[static_cast<size_t>(partition)].revision;
   if (change.kind == TaskChange::Kind::kPlaced)
-    change.basis = placement_basis(replica_, *job, partition);
+    change.basis_revision = placement_basis_revision(replica_, *job, partition);
   const model::ShardId id = job->shard_of(task.index);
   Entry& entry = shards_[id];
   entry.changes.add(task.index % job->tasks_per_shard, std::move(change), context_.now.steady);
-  if (!entry.changes.in_flight()) enqueue(id, entry);
+  if (!entry.changes.is_in_flight()) enqueue(id, entry);
 }
 
 const ShardChanges* TaskChangeQueue::find_shard(const model::ShardId& id) const {
@@ -62,59 +62,59 @@
   dequeue(entry);
   const model::Job* job = replica_.job(id.job);
   const ShardChanges& changes = entry.changes;
-  if (job == nullptr || changes.waiting().empty()) return;
-  entry.position = Position{rank_of(*job, id.index, changes), changes.waiting_since(), id};
-  order_.insert(*entry.position);
+  if (job == nullptr || changes.pending().empty()) return;
+  entry.position = QueuePosition{rank_of(*job, id.index, changes), changes.pending_since(), id};
+  write_order_.insert(*entry.position);
 }
 
 void TaskChangeQueue::dequeue(Entry& entry) {
-  if (entry.position) order_.erase(*entry.position);
+  if (entry.position) write_order_.erase(*entry.position);
   entry.position.reset();
 }
 
 WriteRank TaskChangeQueue::rank_of(const model::Job& job, uint32_t shard,
                                    const ShardChanges& changes) const {
-  const uint32_t tasks_each = job.spec.shape == model::Shape::kGang ? job.spec.tasks : 1;
-  uint32_t done = job.done;
-  bool decided = false, terminating = false;
-  for (const auto& [index, change] : changes.waiting()) {
+  const uint32_t tasks_per_result = job.spec.shape == model::Shape::kGang ? job.spec.tasks : 1;
+  uint32_t done_tasks = job.done;
+  bool has_decision = false, is_terminating = false;
+  for (const auto& [index, change] : changes.pending()) {
     if (change.kind == TaskChange::Kind::kDone)
-      done += tasks_each;
+      done_tasks += tasks_per_result;
     else
-      decided = true;
-    terminating = terminating || listener_.terminating(change.machine.name);
+      has_decision = true;
+    is_terminating = is_terminating || listener_.is_terminating(change.machine.name);
   }
-  if (terminating || done >= job.spec.tasks) return WriteRank::kUrgentResult;
-  if (decided || !more_results_expected(job, shard, changes)) return decision_rank(job.spec);
+  if (is_terminating || done_tasks >= job.spec.tasks) return WriteRank::kUrgentResult;
+  if (has_decision || !expects_more_results(job, shard, changes)) return decision_rank(job.spec);
   return WriteRank::kGatheredResult;
 }
 
 // Whether this process's machines still have tasks of the shard whose results may be gathered with
 // those that wait. Other owners may have some too, and know as little of ours: a job whose tasks
 // have all ended must not wait for writes to spare at each of them.
-bool TaskChangeQueue::more_results_expected(const model::Job& job, uint32_t shard,
+bool TaskChangeQueue::expects_more_results(const model::Job& job, uint32_t shard,
                                             const ShardChanges& changes) const {
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     if (tasks[i].done || tasks[i].machine.empty() || changes.find(i) != nullptr) continue;
     const model::Machine* machine = replica_.machine(tasks[i].machine);
-    if (machine != nullptr && owned_.owns(machine->partition)) return true;
+    if (machine != nullptr && owned_partitions_.owns(machine->partition)) return true;
   }
   return false;
 }
 
-bool TaskChangeQueue::may_decide(const model::Job& job, uint32_t shard) const {
+bool TaskChangeQueue::can_queue_placement(const model::Job& job, uint32_t shard) const {
   if (job.spec.shape == model::Shape::kService) return true;  // few, and at once
   // A shard that is in the order of writing may take more changes at no cost.
-  auto own = shards_.find({job.spec.id, shard});
-  if (own != shards_.end() && own->second.position) return true;
-  const auto most =
-      static_cast<size_t>(std::max(kMinDecidedAhead, kDecidedAhead * client_.writes_per_s()));
+  auto entry = shards_.find({job.spec.id, shard});
+  if (entry != shards_.end() && entry->second.position) return true;
+  const auto max_shards_ahead =
+      static_cast<size_t>(std::max(kMinPlacementBacklogShards, kPlacementBacklogSeconds * client_.writes_per_s()));
   const WriteRank rank = decision_rank(job.spec);
-  size_t ahead = 0;
-  for (const Position& position : order_) {
+  size_t shards_ahead = 0;
+  for (const QueuePosition& position : write_order_) {
     if (position.rank > rank) break;
-    if (++ahead >= most) return false;
+    if (++shards_ahead >= max_shards_ahead) return false;
   }
   return true;
 }
@@ -122,68 +122,68 @@
 // ---- sending -------------------------------------------------------------------------------
 
 void TaskChangeQueue::flush() {
-  while (in_flight_ < kMaxInFlight && flush_once()) {
+  while (in_flight_transactions_ < kMaxInFlightTransactions && flush_once()) {
   }
 }
 
 // Sends one transaction. False if nothing was sent.
 bool TaskChangeQueue::flush_once() {
-  if (order_.empty() || context_.now.steady < backoff_until_) return false;
-  ShardTransactionBuilder transaction(context_, replica_, owned_);
-  for (auto next = order_.begin(); next != order_.end();) {
-    const Position position = *next;
-    if (!may_send(position, transaction)) break;
+  if (write_order_.empty() || context_.now.steady < backoff_until_) return false;
+  ShardTransactionBuilder transaction(context_, replica_, owned_partitions_);
+  for (auto next = write_order_.begin(); next != write_order_.end();) {
+    const QueuePosition position = *next;
+    if (!can_send(position, transaction)) break;
     ++next;  // adding the shard takes it out of the order
-    const auto added = add_to_transaction(position.shard, transaction);
-    if (added == ShardTransactionBuilder::Added::kFull) break;
-    if (added == ShardTransactionBuilder::Added::kShard)
+    const auto result = add_to_transaction(position.shard, transaction);
+    if (result == ShardTransactionBuilder::AddResult::kFull) break;
+    if (result == ShardTransactionBuilder::AddResult::kAdded)
       context_.count(counter_name(position.rank));
   }
   return !transaction.empty() && send(transaction);
 }
 
 // Whether the shard at this position may go with the transaction, by the store's limits.
-bool TaskChangeQueue::may_send(const Position& position,
+bool TaskChangeQueue::can_send(const QueuePosition& position,
                                const ShardTransactionBuilder& transaction) const {
   const size_t writes = transaction.write_count() + ShardTransactionBuilder::kMaxShardWrites;
   if (!client_.room_for(static_cast<double>(writes) + client_.reserved_writes(),
-                        reserved_share(position.rank)))
+                        reserved_ratio(position.rank)))
     return false;
   const auto& platform = context_.settings.platform;
-  const size_t most =
+  const size_t max_writes =
       std::max(ShardTransactionBuilder::kMaxShardWrites,
                std::min<size_t>(platform.state_txn_ops,
-                                static_cast<size_t>(client_.writes_per_s() * kTransactionShare)));
-  if (writes > most || transaction.bytes() > kMaxBytes) return false;
+                                static_cast<size_t>(client_.writes_per_s() * kTransactionWritesRatio)));
+  if (writes > max_writes || transaction.estimated_bytes() > kMaxTransactionBytes) return false;
   return position.rank != WriteRank::kGatheredResult ||
-         context_.now.steady - position.since >= kGatherReports * platform.report_s;
+         context_.now.steady - position.pending_since >= kGatherHeartbeats * platform.report_s;
 }
 
-ShardTransactionBuilder::Added TaskChangeQueue::add_to_transaction(
+ShardTransactionBuilder::AddResult TaskChangeQueue::add_to_transaction(
     const model::ShardId& id, ShardTransactionBuilder& transaction) {
-  using Added = ShardTransactionBuilder::Added;
+  using AddResult = ShardTransactionBuilder::AddResult;
   auto it = shards_.find(id);
   std::vector<RemovedChange> removed;
-  const Added added = transaction.add(id, it->second.changes, removed);
-  for (const auto& [index, change] : removed) report_removed(id, index, change);
-  if (added == Added::kTooLarge) context_.count("too_large");  // waits in the order as before
-  if (added == Added::kShard || added == Added::kNothing) dequeue(it->second);
-  if (added == Added::kNothing) shards_.erase(it);
-  return added;
+  const AddResult result = transaction.add(id, it->second.changes, removed);
+  for (const auto& [index, change] : removed) notify_removed(id, index, change);
+  if (result == AddResult::kTooLarge) context_.count("too_large");  // waits in the order as before
+  if (result == AddResult::kAdded || result == AddResult::kNoChanges) dequeue(it->second);
+  if (result == AddResult::kNoChanges) shards_.erase(it);
+  return result;
 }
 
 bool TaskChangeQueue::send(ShardTransactionBuilder& transaction) {
   const std::vector<model::ShardId>& shards = transaction.shards();
   const bool sent = committer_.commit(
-      transaction.preconditions(), transaction.take_writes(),
+      transaction.preconditions(), transaction.extract_writes(),
       [this, shards, keys = transaction.keys()](const store::TransactionResult& result) {
-        --in_flight_;
+        --in_flight_transactions_;
         on_outcome(shards, keys, result);
       });
   if (sent)
-    ++in_flight_;
+    ++in_flight_transactions_;
   else
-    send_again(shards);
+    requeue_sent(shards);
   return sent;
 }
 
@@ -200,8 +200,8 @@
     case store::TransactionOutcome::kNoLease:
     case store::TransactionOutcome::kTooLarge:
       context_.count("refused");
-      backoff_until_ = context_.now.steady + kBackoff;
-      send_again(shards);
+      backoff_until_ = context_.now.steady + kBackoffSeconds;
+      requeue_sent(shards);
       return;
     case store::TransactionOutcome::kConflict:
       context_.count("conflicts", static_cast<double>(shards.size()));
@@ -233,9 +233,9 @@
     const ShardChanges* changes = find_shard(id);
     const bool may_be_applied = job != nullptr && changes != nullptr &&
                                 id.index < job->shards.size() &&
-                                job->shards[id.index].revision == changes->sent_on();
+                                job->shards[id.index].revision == changes->sent_revision();
     if (may_be_applied)
-      send_again({id});
+      requeue_sent({id});
     else
       remove_sent({id});
   }
@@ -246,8 +246,8 @@
     auto it = shards_.find(id);
     if (it == shards_.end()) continue;
     ShardChanges& changes = it->second.changes;
-    for (const auto& [index, change] : changes.take_sent()) report_removed(id, index, change);
-    if (changes.waiting().empty())
+    for (const auto& [index, change] : changes.extract_sent()) notify_removed(id, index, change);
+    if (changes.pending().empty())
       shards_.erase(it);
     else
       enqueue(id, it->second);
@@ -255,15 +255,15 @@
 }
 
 // What was decided since then stays; what was sent is tried again.
-void TaskChangeQueue::send_again(const std::vector<model::ShardId>& shards) {
+void TaskChangeQueue::requeue_sent(const std::vector<model::ShardId>& shards) {
   for (const model::ShardId& id : shards) {
     Entry& entry = shards_.at(id);
-    entry.changes.return_sent();
+    entry.changes.requeue_sent();
     enqueue(id, entry);
   }
 }
 
-void TaskChangeQueue::report_removed(const model::ShardId& id, uint32_t index,
+void TaskChangeQueue::notify_removed(const model::ShardId& id, uint32_t index,
                                      const TaskChange& change) {
   const model::Job* job = replica_.job(id.job);
   if (job == nullptr) return;  // does not happen: the replica keeps every job
--- a/src/rooksill/changes/task_change_queue.h
+++ b/src/rooksill/changes/task_change_queue.h
@@ -34,7 +34,7 @@
   // All arguments must outlive the queue.
   TaskChangeQueue(runtime::Context& context, const store::Replica& replica,
                   const store::Client& client, store::Committer& committer,
-                  const OwnedPartitions& owned, TaskChangeListener& listener);
+                  const OwnedPartitions& owned_partitions, TaskChangeListener& listener);
 
   // Queues a change that was decided on the replica as it is now.
   void add(const model::TaskRef& task, TaskChange change);
@@ -43,39 +43,39 @@
 
   // The change of a task that the store does not have yet; nullptr if there is none.
   const TaskChange* find(const model::TaskRef& task) const;
-  bool pending(const model::TaskRef& task) const { return find(task) != nullptr; }
+  bool is_pending(const model::TaskRef& task) const { return find(task) != nullptr; }
   // All such changes of a shard; nullptr if there are none.
   const ShardChanges* find_shard(const model::ShardId& id) const;
   // Whether a placement in the shard would be written soon. One that is decided and not yet written
   // keeps its room from everybody: where writes are few, no more is decided than can be written
   // soon, so that what has a higher rank finds the room, and each write takes all that has come
   // free by then.
-  bool may_decide(const model::Job& job, uint32_t shard) const;
+  bool can_queue_placement(const model::Job& job, uint32_t shard) const;
   // Shards whose changes are to be sent.
-  size_t size() const { return order_.size(); }
+  size_t pending_shard_count() const { return write_order_.size(); }
 
  private:
   // A shard's place in the order of writing.
-  struct Position {
+  struct QueuePosition {
     WriteRank rank = WriteRank::kGatheredResult;
-    double since = 0;  // steady clock
+    double pending_since = 0;  // steady clock
     model::ShardId shard;
-    auto operator<=>(const Position&) const = default;
+    auto operator<=>(const QueuePosition&) const = default;
   };
   struct Entry {
     ShardChanges changes;
-    std::optional<Position> position;  // while it is in the order of writing
+    std::optional<QueuePosition> position;  // while it is in the order of writing
   };
 
   void enqueue(const model::ShardId& id, Entry& entry);
   void dequeue(Entry& entry);
   WriteRank rank_of(const model::Job& job, uint32_t shard, const ShardChanges& changes) const;
-  bool more_results_expected(const model::Job& job, uint32_t shard,
+  bool expects_more_results(const model::Job& job, uint32_t shard,
                              const ShardChanges& changes) const;
 
   bool flush_once();
-  bool may_send(const Position& position, const ShardTransactionBuilder& transaction) const;
-  ShardTransactionBuilder::Added add_to_transaction(const model::ShardId& id,
+  bool can_send(const QueuePosition& position, const ShardTransactionBuilder& transaction) const;
+  ShardTransactionBuilder::AddResult add_to_transaction(const model::ShardId& id,
                                                     ShardTransactionBuilder& transaction);
   bool send(ShardTransactionBuilder& transaction);
 
@@ -84,18 +84,18 @@
   void mark_reading_back(const std::vector<model::ShardId>& shards);
   void resolve_unknown(const std::vector<model::ShardId>& shards);
   void remove_sent(const std::vector<model::ShardId>& shards);
-  void send_again(const std::vector<model::ShardId>& shards);
-  void report_removed(const model::ShardId& id, uint32_t index, const TaskChange& change);
+  void requeue_sent(const std::vector<model::ShardId>& shards);
+  void notify_removed(const model::ShardId& id, uint32_t index, const TaskChange& change);
 
   runtime::Context& context_;
   const store::Replica& replica_;
   const store::Client& client_;
   store::Committer& committer_;
-  const OwnedPartitions& owned_;
+  const OwnedPartitions& owned_partitions_;
   TaskChangeListener& listener_;
   std::map<model::ShardId, Entry> shards_;
-  std::set<Position> order_;
-  int in_flight_ = 0;         // transactions without an answer
+  std::set<QueuePosition> write_order_;
+  int in_flight_transactions_ = 0;         // transactions without an answer
   double backoff_until_ = 0;  // steady clock
 };
 
--- a/src/rooksill/changes/write_rank.cc
+++ b/src/rooksill/changes/write_rank.cc
@@ -3,8 +3,8 @@
 namespace rooksill::changes {
 
 namespace {
-constexpr double kDecisionReserve = 0.1;  // that decisions leave to urgent results
-constexpr double kGatheredReserve = 0.4;  // that gathered results leave to both
+constexpr double kDecisionReserveRatio = 0.1;  // that decisions leave to urgent results
+constexpr double kGatheredReserveRatio = 0.4;  // that gathered results leave to both
 }  // namespace
 
 WriteRank decision_rank(const model::JobSpec& spec) {
@@ -24,9 +24,9 @@
   return WriteRank::kIdleDecision;
 }
 
-double reserved_share(WriteRank rank) {
+double reserved_ratio(WriteRank rank) {
   if (rank == WriteRank::kUrgentResult) return 0;
-  return rank < WriteRank::kGatheredResult ? kDecisionReserve : kGatheredReserve;
+  return rank < WriteRank::kGatheredResult ? kDecisionReserveRatio : kGatheredReserveRatio;
 }
 
 const char* counter_name(WriteRank rank) {
--- a/src/rooksill/changes/write_rank.h
+++ b/src/rooksill/changes/write_rank.h
@@ -21,7 +21,7 @@
 WriteRank decision_rank(const model::JobSpec& spec);
 
 // The part of the store's limits that changes of this rank leave to those that come before them.
-double reserved_share(WriteRank rank);
+double reserved_ratio(WriteRank rank);
 
 // The name under which shards written with this rank are counted in the log.
 const char* counter_name(WriteRank rank);
--- a/src/rooksill/partition/capacity_tracker.cc
+++ b/src/rooksill/partition/capacity_tracker.cc
@@ -16,7 +16,7 @@
 
 void CapacityTracker::forget(agent::Worker& worker) {
   quota_usage_.subtract(worker.capacity);
-  worker.capacity.use_by_team.clear();
+  worker.capacity.usage_by_team.clear();
 }
 
 void CapacityTracker::recompute(agent::Worker& worker) {
@@ -36,7 +36,7 @@
   const model::Machine* machine = replica_.machine(worker.name);
   if (machine == nullptr) return capacity;
   capacity.partition = machine->partition;
-  capacity.spot = machine->spot;
+  capacity.is_spot = machine->spot;
   capacity.zone = machine->zone;
   auto type = replica_.types.find(machine->type);
   if (type == replica_.types.end()) return capacity;
@@ -52,7 +52,7 @@
     capacity.add_task(job);
     const model::TaskState* task = replica_.task(ref);
     if (task != nullptr && evicted_.contains(ref, task->attempt)) {
-      capacity.vacating += job.spec.request;
+      capacity.evicting += job.spec.request;
     } else if (job.spec.shape != model::Shape::kGang) {
       // A gang is not preempted: it would have to go whole.
       capacity.cpus_by_priority[static_cast<size_t>(job.spec.priority)] += job.spec.request.cpus;
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -9,7 +9,7 @@
 
 namespace rooksill::partition {
 
-using placement::WaitingShard;
+using placement::PendingShard;
 
 namespace {
 constexpr double kPassPause = 0.025;  // seconds between two passes
@@ -43,8 +43,8 @@
 
 // Of the shards routed here, those that may have tasks to place; forgets those of jobs that are
 // over.
-std::vector<WaitingShard> PartitionOwner::waiting_shards() {
-  std::vector<WaitingShard> waiting;
+std::vector<PendingShard> PartitionOwner::waiting_shards() {
+  std::vector<PendingShard> waiting;
   for (auto it = routed_.begin(); it != routed_.end();) {
     const model::Job* job = replica_.job(it->job);
     if (job != nullptr && (job->over() || it->index >= job->shards.size())) {
@@ -68,7 +68,7 @@
   if (!placement_requested_ || ctx_.now.steady < next_place_) return;
   placement_requested_ = false;
   if (owned_.empty() || routed_.empty()) return;
-  std::vector<WaitingShard> waiting = waiting_shards();
+  std::vector<PendingShard> waiting = waiting_shards();
   if (waiting.empty()) return;
   const double slowdown = 1 + static_cast<double>(waiting.size()) / kShardsThatDoublePause;
   next_place_ = ctx_.now.steady + kPassPause * slowdown;
@@ -81,10 +81,10 @@
   PlacementPass pass({ctx_, replica_, owned_, changes_, workers_, capacities_, quota_usage_,
                       evicted_, failed_there},
                      eviction_budget_, open_workers());
-  for (const WaitingShard& shard : waiting) {
+  for (const PendingShard& shard : waiting) {
     if (shard.job->spec.shape == model::Shape::kGang)
       pass.place_gang(shard);
-    else if (changes_.may_decide(*shard.job, shard.shard))
+    else if (changes_.can_queue_placement(*shard.job, shard.shard))
       pass.place_shard(shard);
   }
 }
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -69,7 +69,7 @@
     // here before a worker's tasks are judged.
     if (mine && !owns(b) && replica_.synced_revision >= lease.revision) {
       activate(b);
-    } else if (owned_.acquired(b) && !owns(b)) {
+    } else if (owned_.has_acquired(b) && !owns(b)) {
       ctx_.info("partition", "partition {} given up, now with {}", b, lease.owner);
       owned_.release(b);
       drop_workers(b);
@@ -98,7 +98,7 @@
 
 void PartitionOwner::check_timeouts() {
   failure_detector_.check();
-  evicted_.forget_if([&](const model::TaskRef& ref, uint64_t attempt) {
+  evicted_.remove_if([&](const model::TaskRef& ref, uint64_t attempt) {
     const model::TaskState* task = replica_.task(ref);
     return task == nullptr || task->machine.empty() || task->attempt != attempt;
   });
@@ -122,7 +122,7 @@
   placement_requested_ = true;
 }
 
-bool PartitionOwner::terminating(const std::string& machine) const {
+bool PartitionOwner::is_terminating(const std::string& machine) const {
   const agent::Worker* worker = workers_.find(machine);
   return worker != nullptr && worker->terminates_at.has_value();
 }
@@ -146,7 +146,7 @@
   if (state == nullptr || state->attempt != move.attempt) return;
   agent::Worker* worker = workers_.find(state->machine);
   if (worker == nullptr) return;
-  evicted_.evict(task, move.attempt);
+  evicted_.mark_evicted(task, move.attempt);
   workers_.mark_changed(*worker);
 }
 
@@ -155,7 +155,7 @@
 void PartitionOwner::transfer_quotas() {
   quota_usage_.refresh_shares();
   transfers_.tick(
-      [this](int partition, model::Revision lease) { return owned_.owns_under(partition, lease); });
+      [this](int partition, model::Revision lease) { return owned_.owns_under_lease(partition, lease); });
   for (const auto& t : std::exchange(asked_transfers_, {})) {
     if (!owns(t.from)) continue;
     for (auto& [name, w] : workers_) capacities_.capacity(w);
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -76,7 +76,7 @@
   std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
   // Of teams with a limit, in the partitions held.
   std::vector<wire::QuotaUse> quota_use() const;
-  size_t queued() const { return changes_.size(); }
+  size_t queued() const { return changes_.pending_shard_count(); }
   std::string summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_.owns(partition); }
   bool suspects_itself() const { return failure_detector_.suspects_itself(); }
@@ -96,7 +96,7 @@
   // Of changes::TaskChangeListener.
   void on_change_added(const model::TaskRef& task, const changes::TaskChange& change) override;
   void on_change_removed(const model::TaskRef& task, const changes::TaskChange& change) override;
-  bool terminating(const std::string& machine) const override;
+  bool is_terminating(const std::string& machine) const override;
 
   void evict(const wire::TaskMove& move);
 
@@ -104,7 +104,7 @@
   bool open(const agent::Worker& w) const;
   std::vector<agent::Worker*> open_workers();
   bool exceeds_quota(const std::string& team, agent::Worker& w);
-  std::vector<placement::WaitingShard> waiting_shards();
+  std::vector<placement::PendingShard> waiting_shards();
 
   runtime::Context& ctx_;
   store::Replica& replica_;
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -18,7 +18,7 @@
 using placement::Demand;
 using placement::MachineCapacity;
 using placement::MachineOption;
-using placement::WaitingShard;
+using placement::PendingShard;
 using placement::ZoneLimits;
 
 namespace {
@@ -53,7 +53,7 @@
                   }),
       set_aside_(workers_.size()) {}
 
-void PlacementPass::place_shard(const WaitingShard& waiting) {
+void PlacementPass::place_shard(const PendingShard& waiting) {
   const model::Job& job = *waiting.job;
   // Looked at before anything else: of a long queue nearly all shards end here.
   if (unmet_.covers(job.spec)) return;
@@ -62,11 +62,11 @@
   std::optional<ZoneLimits> zones = zone_limits(job);
   if (!zones) return;
   std::vector<MachineOption> options = options_for(job, *zones);
-  if (job.spec.one_zone && !zones->restricted()) {
+  if (job.spec.one_zone && !zones->is_restricted()) {
     // All of the job's tasks must come to fit in one zone.
-    zones->restrict_to(placement::roomiest_zone(options));
+    zones->restrict_to(placement::zone_with_most_slots(options));
     std::erase_if(options, [&](const MachineOption& option) {
-      return zones->left(option.capacity->zone) == 0;
+      return zones->remaining(option.capacity->zone) == 0;
     });
   }
   placement::sort_by_score(options);
@@ -87,13 +87,13 @@
     demand.tasks -= preempt(job, demand.tasks, demand.zones, true);
     assign({rest, options.end()}, demand, tasks);
   }
-  if (demand.tasks > 0 && job.spec.priority > model::Priority::kIdle && !preemption_.exhausted())
+  if (demand.tasks > 0 && job.spec.priority > model::Priority::kIdle && !preemption_.is_exhausted())
     demand.tasks -= preempt(job, demand.tasks, demand.zones, false);
   if (demand.tasks > 0) unmet_.add(job.spec);
 }
 
 // Tasks of one shard are alike: all of them look for places at once.
-std::vector<uint32_t> PlacementPass::tasks_to_place(const WaitingShard& waiting) const {
+std::vector<uint32_t> PlacementPass::tasks_to_place(const PendingShard& waiting) const {
   const model::TaskShard& shard = waiting.job->shards[waiting.shard];
   const changes::ShardChanges* pending =
       env_.changes.find_shard({waiting.job->spec.id, waiting.shard});
@@ -103,7 +103,7 @@
     const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == TaskChange::Kind::kLost && !pending->in_flight()) indexes.push_back(i);
+      if (change->kind == TaskChange::Kind::kLost && !pending->is_in_flight()) indexes.push_back(i);
     } else if (env_.replica.waits(task) &&
                (task.machine.empty() || env_.replica.lists_cover(shard))) {
       indexes.push_back(i);
@@ -129,8 +129,8 @@
   // What has ended on a machine is there no more, though that is not written yet.
   auto ended = [&](uint32_t index) {
     if (pending == nullptr) return false;
-    auto change = pending->waiting().find(index);
-    return change != pending->waiting().end() && change->second.kind == TaskChange::Kind::kLost;
+    auto change = pending->pending().find(index);
+    return change != pending->pending().end() && change->second.kind == TaskChange::Kind::kLost;
   };
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
@@ -142,7 +142,7 @@
     count_on(tasks[i].machine, job.spec, zones);
   }
   if (pending == nullptr) return true;
-  for (const auto* changes : {&pending->waiting(), &pending->sent()})
+  for (const auto* changes : {&pending->pending(), &pending->sent()})
     for (const auto& [i, change] : *changes)
       if (change.kind == TaskChange::Kind::kPlaced) count_on(change.machine.name, job.spec, zones);
   return true;
@@ -171,7 +171,7 @@
   for (size_t i = 0; i < machines_.size(); ++i) {
     const MachineCapacity& capacity = *machines_[i];
     if (!placement::Feasibility::allows(job.spec, capacity)) continue;
-    if (zones.left(capacity.zone) == 0) continue;
+    if (zones.remaining(capacity.zone) == 0) continue;
     const uint32_t count = slots(job.spec, i);
     if (count == 0) continue;
     const double score = placement::score(job, capacity, cheapest_cpu_,
@@ -187,7 +187,7 @@
   const model::Job& job = *tasks.job;
   const model::TaskShard& shard = job.shards[tasks.shard];
   for (const auto& assignment : placement::assign_in_order(options, demand)) {
-    agent::Worker& worker = *workers_[assignment.machine];
+    agent::Worker& worker = *workers_[assignment.machine_index];
     for (uint32_t k = 0; k < assignment.tasks; ++k) {
       const uint32_t index = tasks.indexes[tasks.placed++];
       const uint64_t attempt = shard.tasks[index].attempt + 1;
@@ -212,12 +212,12 @@
   const placement::PreemptionPlan plan =
       preemption_.plan({&job, tasks, zones, only_with_image, within_quota});
   for (const placement::Eviction& eviction : plan.evictions) {
-    agent::Worker& worker = *workers_[eviction.machine];
+    agent::Worker& worker = *workers_[eviction.machine_index];
     for (const model::TaskRef& ref : eviction.tasks) {
       env_.context.debug("placement", "task {} on {} is evicted to make room for {}",
                          wire::task_name(ref), worker.name, job.spec.id);
       env_.context.count("tasks_stopped");
-      env_.evicted.evict(ref, env_.replica.task(ref)->attempt);
+      env_.evicted.mark_evicted(ref, env_.replica.task(ref)->attempt);
     }
     env_.workers.mark_changed(worker);
     env_.capacities.recompute(worker);
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -58,9 +58,9 @@
   PlacementPass& operator=(const PlacementPass&) = delete;
 
   // Places as many of the shard's tasks as find room. Not for gangs.
-  void place_shard(const placement::WaitingShard& waiting);
+  void place_shard(const placement::PendingShard& waiting);
   // Places all tasks of the gang or none.
-  void place_gang(const placement::WaitingShard& waiting);
+  void place_gang(const placement::PendingShard& waiting);
 
  private:
   // Tasks of a shard that look for places, in the order in which they get them.
@@ -71,7 +71,7 @@
     size_t placed = 0;              // of these
   };
 
-  std::vector<uint32_t> tasks_to_place(const placement::WaitingShard& waiting) const;
+  std::vector<uint32_t> tasks_to_place(const placement::PendingShard& waiting) const;
   std::optional<placement::ZoneLimits> zone_limits(const model::Job& job) const;
   bool count_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
   void count_on(const std::string& machine, const model::JobSpec& spec,
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -15,7 +15,7 @@
 using changes::TaskChange;
 using placement::Demand;
 using placement::MachineCapacity;
-using placement::WaitingShard;
+using placement::PendingShard;
 using placement::ZoneLimits;
 
 namespace {
@@ -34,7 +34,7 @@
     const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
-      if (change->kind != TaskChange::Kind::kLost || pending->in_flight()) return std::nullopt;
+      if (change->kind != TaskChange::Kind::kLost || pending->is_in_flight()) return std::nullopt;
     } else if (!env_.replica.waits(task) ||
                (!task.machine.empty() && !env_.replica.lists_cover(shard))) {
       return std::nullopt;
@@ -46,13 +46,13 @@
 // The whole gang, with what the team's quota still takes in each partition.
 Demand PlacementPass::gang_demand(const model::JobSpec& spec) {
   Demand demand{spec.tasks, ZoneLimits(spec), {}};
-  for (const int partition : env_.owned.list())
+  for (const int partition : env_.owned.acquired_partitions())
     demand.quota_tasks[partition] =
         std::clamp<double>(env_.quota_usage.tasks_left(spec, partition), 0, spec.tasks);
   return demand;
 }
 
-void PlacementPass::place_gang(const WaitingShard& waiting) {
+void PlacementPass::place_gang(const PendingShard& waiting) {
   const model::Job& job = *waiting.job;
   if (job.shards.size() != 1) return;
   const auto attempt = next_gang_attempt(job);
@@ -63,7 +63,7 @@
   if (plan.empty()) return make_room_for_gang(job);
   uint32_t next = 0;
   for (const auto& assignment : plan) {
-    agent::Worker& worker = *workers_[assignment.machine];
+    agent::Worker& worker = *workers_[assignment.machine_index];
     for (uint32_t k = 0; k < assignment.tasks; ++k)
       env_.changes.add({job.spec.id, next++},
                        TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
@@ -78,7 +78,7 @@
 // Evicts work of lower priority if that makes room for the whole gang, and keeps what is free from
 // whoever comes after it in this pass: smaller jobs would take it each time.
 void PlacementPass::make_room_for_gang(const model::Job& job) {
-  const auto room = placement::most_gang_room(job.spec, machines_, feasibility_);
+  const auto room = placement::max_gang_capacity(job.spec, machines_, feasibility_);
   if (!room) return;
   const auto& context = env_.context;
   const bool waits_long =
--- a/src/rooksill/partition/quota_usage.cc
+++ b/src/rooksill/partition/quota_usage.cc
@@ -11,11 +11,11 @@
 }  // namespace
 
 void QuotaUsage::add(const placement::MachineCapacity& machine) {
-  for (const auto& [team, use] : machine.use_by_team) used_[{machine.partition, team}] += use;
+  for (const auto& [team, use] : machine.usage_by_team) used_[{machine.partition, team}] += use;
 }
 
 void QuotaUsage::subtract(const placement::MachineCapacity& machine) {
-  for (const auto& [team, use] : machine.use_by_team) used_[{machine.partition, team}] -= use;
+  for (const auto& [team, use] : machine.usage_by_team) used_[{machine.partition, team}] -= use;
 }
 
 const model::QuotaShare& QuotaUsage::share(const std::string& team, int partition) {
--- a/src/rooksill/placement/evicted_tasks.h
+++ b/src/rooksill/placement/evicted_tasks.h
@@ -14,7 +14,7 @@
 class EvictedTasks {
  public:
   // False if the task was evicted before, whichever attempt of it.
-  bool evict(const model::TaskRef& task, uint64_t attempt) {
+  bool mark_evicted(const model::TaskRef& task, uint64_t attempt) {
     return attempts_.insert_or_assign(task, attempt).second;
   }
   bool contains(const model::TaskRef& task) const { return attempts_.count(task) != 0; }
@@ -23,7 +23,7 @@
     return found != attempts_.end() && found->second == attempt;
   }
   // Forgets the attempts of which `is_gone` says so.
-  void forget_if(const std::function<bool(const model::TaskRef& task, uint64_t attempt)>& is_gone) {
+  void remove_if(const std::function<bool(const model::TaskRef& task, uint64_t attempt)>& is_gone) {
     std::erase_if(attempts_, [&](const auto& entry) { return is_gone(entry.first, entry.second); });
   }
 
--- a/src/rooksill/placement/feasibility.h
+++ b/src/rooksill/placement/feasibility.h
@@ -25,16 +25,16 @@
   // Tasks of the job that fit in what is free, less the headroom and what is set aside for others.
   // A whole number of at most a million.
   double free_slots(const model::JobSpec& spec, const MachineCapacity& machine,
-                    const model::Resources& set_aside) const;
+                    const model::Resources& reserved) const;
 
   // What the machine has for the job once all that were told to stop are gone.
-  model::Resources free_after_vacating(const model::JobSpec& spec,
+  model::Resources free_after_evictions(const model::JobSpec& spec,
                                        const MachineCapacity& machine) const {
-    return machine.free + machine.vacating - headroom(spec, machine);
+    return machine.free + machine.evicting - headroom(spec, machine);
   }
 
  private:
-  double soonest_start_s_;  // of the objectives for waiting; infinite without any
+  double min_wait_objective_s_;  // of the objectives for waiting; infinite without any
 };
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/gang_plan.cc
+++ b/src/rooksill/placement/gang_plan.cc
@@ -19,14 +19,14 @@
   double score = 0;                     // over all tasks
 };
 
-GangPlan fill(const std::vector<MachineOption>& options, Demand demand) {
+GangPlan assign_all_tasks(const std::vector<MachineOption>& options, Demand demand) {
   GangPlan plan;
   plan.assignments = assign_in_order(options, demand);
   if (demand.tasks > 0) return {};
   auto option = options.begin();
   for (const Assignment& assignment : plan.assignments) {
     // Assignments come in the order of the options.
-    while (option->machine != assignment.machine) ++option;
+    while (option->machine_index != assignment.machine_index) ++option;
     plan.start_s = std::max(plan.start_s, option->start_s);
     plan.score += option->score * assignment.tasks;
   }
@@ -34,11 +34,11 @@
 }
 
 // CPUs that the gang could have on the machine with all lower work gone.
-double reachable_cpus(const model::JobSpec& spec, const MachineCapacity& machine,
+double cpus_after_preemption(const model::JobSpec& spec, const MachineCapacity& machine,
                       const Feasibility& feasibility) {
-  double cpus = feasibility.free_after_vacating(spec, machine).cpus;
-  for (size_t lower = 0; lower < static_cast<size_t>(spec.priority); ++lower)
-    cpus += machine.cpus_by_priority[lower];
+  double cpus = feasibility.free_after_evictions(spec, machine).cpus;
+  for (size_t lower_priority = 0; lower_priority < static_cast<size_t>(spec.priority); ++lower_priority)
+    cpus += machine.cpus_by_priority[lower_priority];
   return cpus;
 }
 
@@ -50,15 +50,15 @@
                    [](const MachineOption& a, const MachineOption& b) {
                      return std::tie(a.start_s, a.score) < std::tie(b.start_s, b.score);
                    });
-  if (!one_zone) return fill(options, demand).assignments;
+  if (!one_zone) return assign_all_tasks(options, demand).assignments;
   std::set<std::string> zones;
   for (const auto& option : options) zones.insert(option.capacity->zone);
   GangPlan best;
   for (const auto& zone : zones) {
-    std::vector<MachineOption> there;
-    std::copy_if(options.begin(), options.end(), std::back_inserter(there),
+    std::vector<MachineOption> zone_options;
+    std::copy_if(options.begin(), options.end(), std::back_inserter(zone_options),
                  [&](const MachineOption& option) { return option.capacity->zone == zone; });
-    GangPlan plan = fill(there, demand);
+    GangPlan plan = assign_all_tasks(zone_options, demand);
     if (plan.assignments.empty()) continue;
     if (best.assignments.empty() ||
         std::tie(plan.start_s, plan.score) < std::tie(best.start_s, best.score))
@@ -67,14 +67,14 @@
   return best.assignments;
 }
 
-std::optional<GangRoom> most_gang_room(const model::JobSpec& spec,
+std::optional<GangCapacity> max_gang_capacity(const model::JobSpec& spec,
                                        const std::vector<const MachineCapacity*>& machines,
                                        const Feasibility& feasibility) {
   if (spec.request.cpus <= 0) return std::nullopt;
   std::map<std::string, double> tasks_by_zone;
   for (const MachineCapacity* machine : machines) {
     if (!Feasibility::allows(spec, *machine)) continue;
-    const double cpus = reachable_cpus(spec, *machine, feasibility);
+    const double cpus = cpus_after_preemption(spec, *machine, feasibility);
     const double tasks = std::floor((cpus + model::Resources::kRoundingError) / spec.request.cpus);
     tasks_by_zone[spec.one_zone ? machine->zone : ""] += std::max(0.0, tasks);
   }
@@ -82,7 +82,7 @@
       std::max_element(tasks_by_zone.begin(), tasks_by_zone.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
   if (best == tasks_by_zone.end()) return std::nullopt;
-  return GangRoom{best->first, best->second};
+  return GangCapacity{best->first, best->second};
 }
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/gang_plan.h
+++ b/src/rooksill/placement/gang_plan.h
@@ -19,14 +19,14 @@
                                   bool one_zone);
 
 // How many tasks of a gang would fit if all work of lower priority were evicted.
-struct GangRoom {
+struct GangCapacity {
   std::string zone;  // empty: over all zones
   double tasks = 0;
 };
 
 // Over all zones, or in the zone with the most for a gang that has to be in one. Nothing if no
 // machine is allowed.
-std::optional<GangRoom> most_gang_room(const model::JobSpec& spec,
+std::optional<GangCapacity> max_gang_capacity(const model::JobSpec& spec,
                                        const std::vector<const MachineCapacity*>& machines,
                                        const Feasibility& feasibility);
 
--- a/src/rooksill/placement/machine_capacity.cc
+++ b/src/rooksill/placement/machine_capacity.cc
@@ -17,21 +17,21 @@
 
 void MachineCapacity::add_task(const model::Job& job) {
   free -= job.spec.request;
-  use_by_team[job.spec.team] += job.spec.request;
+  usage_by_team[job.spec.team] += job.spec.request;
   ++tasks;
   if (!has_image(job.image) && !is_fetching(job.image)) fetching_images.push_back(job.image);
 }
 
 void MachineCapacity::remove_task(const model::JobSpec& spec) {
   free += spec.request;
-  use_by_team[spec.team] -= spec.request;
+  usage_by_team[spec.team] -= spec.request;
   --tasks;
 }
 
 double MachineCapacity::preemptible_cpus(model::Priority priority) const {
   double cpus = 0;
-  for (size_t lower = 0; lower < static_cast<size_t>(priority); ++lower)
-    cpus += cpus_by_priority[lower];
+  for (size_t lower_priority = 0; lower_priority < static_cast<size_t>(priority); ++lower_priority)
+    cpus += cpus_by_priority[lower_priority];
   return cpus;
 }
 
--- a/src/rooksill/placement/machine_capacity.h
+++ b/src/rooksill/placement/machine_capacity.h
@@ -18,18 +18,18 @@
   std::string machine;
   const model::MachineType* type = nullptr;  // null: the machine or its type is not known
   int partition = 0;
-  bool spot = false;
+  bool is_spot = false;
   std::string zone;
   model::Resources free;
   // Resources of tasks that were told to stop and still run. They are not part of `free`.
-  model::Resources vacating;
+  model::Resources evicting;
   uint32_t tasks = 0;
   std::vector<int> cached_images;    // by the images' numbers in this process
   std::vector<int> fetching_images;  // of tasks here, not in the cache yet
   // CPUs of the tasks that preemption may evict, by their priority.
   std::array<double, model::kPriorities> cpus_by_priority{};
   // Kept so that it can be taken back from the use of the partition when this is computed anew.
-  std::map<std::string, model::Resources> use_by_team;
+  std::map<std::string, model::Resources> usage_by_team;
 
   bool has_image(int image) const;
   bool is_fetching(int image) const;
--- a/src/rooksill/placement/preemption.h
+++ b/src/rooksill/placement/preemption.h
@@ -19,14 +19,14 @@
 class EvictionBudget {
  public:
   // Adds what has accrued since the last call, up to a bound.
-  void refill(double writes_per_s, double now);
-  bool covers(double cost) const { return left_ >= cost; }
+  void refill(double writes_per_s, double now_s);
+  bool can_afford(double cost) const { return remaining_ >= cost; }
   // May go below zero: a task is not evicted in part.
-  void spend(double cost) { left_ -= cost; }
+  void spend(double cost) { remaining_ -= cost; }
 
  private:
-  double left_ = 0;
-  double refilled_at_ = 0;
+  double remaining_ = 0;
+  double refilled_at_s_ = 0;
 };
 
 // A task that work of a higher priority may evict.
@@ -45,13 +45,13 @@
   const model::Job* job = nullptr;
   uint32_t tasks = 0;
   ZoneLimits zones;
-  bool only_with_image = false;                     // on machines that have the job's image
-  std::function<bool(int partition)> within_quota;  // whether one more task is
+  bool requires_cached_image = false;                     // on machines that have the job's image
+  std::function<bool(int partition)> is_within_quota;  // whether one more task is
 };
 
 // The tasks to evict on one machine.
 struct Eviction {
-  size_t machine = 0;  // its place in the list of machines
+  size_t machine_index = 0;  // its place in the list of machines
   std::vector<model::TaskRef> tasks;
 };
 
@@ -71,29 +71,29 @@
                     EvictionBudget& budget, ListPreemptible list_preemptible);
 
   // Whether no more machines may be preempted in this pass.
-  bool exhausted() const;
+  bool is_exhausted() const;
   // First what is being vacated already, as far as it is promised to nobody, then evictions.
   PreemptionPlan plan(PreemptionDemand demand);
 
  private:
   // A machine where evictions make room; the smaller the cost, the better.
-  struct Victim {
+  struct Candidate {
     double cost = 0;
-    size_t machine = 0;
+    size_t machine_index = 0;
   };
 
-  bool usable(const PreemptionDemand& demand, const MachineCapacity& machine) const;
-  model::Resources unpromised(const model::JobSpec& spec, size_t machine) const;
-  void promise(PreemptionDemand& demand, size_t machine, PreemptionPlan& plan);
-  void use_vacating(PreemptionDemand& demand, PreemptionPlan& plan);
-  std::vector<Victim> rank_victims(const PreemptionDemand& demand) const;
-  void evict_on(size_t machine, PreemptionDemand& demand, PreemptionPlan& plan);
+  bool can_use(const PreemptionDemand& demand, const MachineCapacity& machine) const;
+  model::Resources unreserved(const model::JobSpec& spec, size_t machine_index) const;
+  void reserve(PreemptionDemand& demand, size_t machine_index, PreemptionPlan& plan);
+  void reserve_evicting(PreemptionDemand& demand, PreemptionPlan& plan);
+  std::vector<Candidate> rank_candidates(const PreemptionDemand& demand) const;
+  void evict_on(size_t machine_index, PreemptionDemand& demand, PreemptionPlan& plan);
 
   const Machines& machines_;
   const Feasibility& feasibility_;
   EvictionBudget& budget_;
   ListPreemptible list_preemptible_;
-  std::vector<model::Resources> promised_;  // by machine
+  std::vector<model::Resources> reserved_;  // by machine
   int preempted_machines_ = 0;
 };
 
--- a/src/rooksill/placement/ranking.cc
+++ b/src/rooksill/placement/ranking.cc
@@ -6,19 +6,19 @@
 namespace rooksill::placement {
 
 namespace {
-constexpr double kMinFetchRate = 0.01;  // GB/s: bounds the wait where the catalogue has no rate
+constexpr double kMinFetchGbPerSecond = 0.01;  // GB/s: bounds the wait where the catalogue has no rate
 // Weights of the terms of a score.
-constexpr double kFailedThereWeight = 1e6;
+constexpr double kFailedOnMachineWeight = 1e6;
 constexpr double kOrdinaryForSpotWeight = 300;
 constexpr double kFetchWeight = 100;  // for having to fetch at all, and for each second of it
 constexpr double kPriceWeight = 50;   // for each multiple of the cheapest CPU's price
-constexpr double kEmptyWeight = 10;   // of a machine without any task
+constexpr double kFreeCpusWeight = 10;   // of a machine without any task
 // Of the wait for an image that other tasks wait for already: those waiting for one go together.
-constexpr double kSharedFetch = 0.5;
+constexpr double kSharedFetchRatio = 0.5;
 
 // Fetching an image alone, in seconds.
-double fetch_s(const model::Job& job, const MachineCapacity& machine) {
-  return job.spec.image_gb / std::max(kMinFetchRate, machine.type->fetch_gb_per_s);
+double fetch_time_s(const model::Job& job, const MachineCapacity& machine) {
+  return job.spec.image_gb / std::max(kMinFetchGbPerSecond, machine.type->fetch_gb_per_s);
 }
 }  // namespace
 
@@ -31,25 +31,25 @@
 
 double image_wait_s(const model::Job& job, const MachineCapacity& machine) {
   if (machine.has_image(job.image)) return 0;
-  return fetch_s(job, machine) * (1 + static_cast<double>(machine.fetching_images.size()));
+  return fetch_time_s(job, machine) * (1 + static_cast<double>(machine.fetching_images.size()));
 }
 
-double score(const model::Job& job, const MachineCapacity& machine, double cheapest_cpu,
-             bool failed_there) {
+double score(const model::Job& job, const MachineCapacity& machine, double cheapest_price,
+             bool has_failed_on_machine) {
   double total = 0;
   if (!machine.has_image(job.image)) {
-    const bool shared = machine.is_fetching(job.image);
-    const double others = static_cast<double>(machine.fetching_images.size()) - (shared ? 1 : 0);
+    const bool is_shared = machine.is_fetching(job.image);
+    const double other_fetches = static_cast<double>(machine.fetching_images.size()) - (is_shared ? 1 : 0);
     total +=
-        kFetchWeight * (1 + fetch_s(job, machine) * (shared ? kSharedFetch : 1) * (1 + others));
+        kFetchWeight * (1 + fetch_time_s(job, machine) * (is_shared ? kSharedFetchRatio : 1) * (1 + other_fetches));
   }
-  if (job.spec.spot && !machine.spot) total += kOrdinaryForSpotWeight;
-  if (failed_there) total += kFailedThereWeight;
+  if (job.spec.spot && !machine.is_spot) total += kOrdinaryForSpotWeight;
+  if (has_failed_on_machine) total += kFailedOnMachineWeight;
   const double capacity = machine.type->capacity.cpus;
   if (capacity > 0) {
-    const double price = machine.spot ? machine.type->spot_price : machine.type->price;
-    total += kPriceWeight * price / capacity / cheapest_cpu;
-    total += kEmptyWeight * machine.free.cpus / capacity;
+    const double price = machine.is_spot ? machine.type->spot_price : machine.type->price;
+    total += kPriceWeight * price / capacity / cheapest_price;
+    total += kFreeCpusWeight * machine.free.cpus / capacity;
   }
   return total;
 }
--- a/src/rooksill/placement/ranking.h
+++ b/src/rooksill/placement/ranking.h
@@ -20,7 +20,7 @@
 // The smaller, the better a place. In the order of their weights: the job's tasks have not failed
 // there, spot work goes to spot machines, the image is there or comes soon, CPUs are cheap, and the
 // machine is full already, so that others empty.
-double score(const model::Job& job, const MachineCapacity& machine, double cheapest_cpu,
-             bool failed_there);
+double score(const model::Job& job, const MachineCapacity& machine, double cheapest_cpu_price,
+             bool has_failed_on_machine);
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/task_plan.cc
+++ b/src/rooksill/placement/task_plan.cc
@@ -16,12 +16,12 @@
     if (demand.tasks == 0) break;
     const std::string& zone = option.capacity->zone;
     double& quota_tasks = demand.quota_tasks[option.capacity->partition];
-    const double most =
+    const double assignable_tasks =
         std::min<double>({static_cast<double>(option.slots), static_cast<double>(demand.tasks),
-                          static_cast<double>(demand.zones.left(zone)), quota_tasks});
-    if (most < 1) continue;
-    const auto tasks = static_cast<uint32_t>(most);
-    assignments.push_back({option.machine, tasks});
+                          static_cast<double>(demand.zones.remaining(zone)), quota_tasks});
+    if (assignable_tasks < 1) continue;
+    const auto tasks = static_cast<uint32_t>(assignable_tasks);
+    assignments.push_back({option.machine_index, tasks});
     demand.tasks -= tasks;
     demand.zones.add(zone, tasks);
     quota_tasks -= tasks;
@@ -29,17 +29,17 @@
   return assignments;
 }
 
-std::string roomiest_zone(const std::vector<MachineOption>& options) {
-  std::map<std::string, uint64_t> slots;
-  for (const auto& option : options) slots[option.capacity->zone] += option.slots;
-  uint64_t most = 0;
-  std::string roomiest;
-  for (const auto& [zone, count] : slots) {
-    if (count <= most) continue;
-    most = count;
-    roomiest = zone;
+std::string zone_with_most_slots(const std::vector<MachineOption>& options) {
+  std::map<std::string, uint64_t> slots_by_zone;
+  for (const auto& option : options) slots_by_zone[option.capacity->zone] += option.slots;
+  uint64_t max_slots = 0;
+  std::string best_zone;
+  for (const auto& [zone, count] : slots_by_zone) {
+    if (count <= max_slots) continue;
+    max_slots = count;
+    best_zone = zone;
   }
-  return roomiest;
+  return best_zone;
 }
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/task_plan.h
+++ b/src/rooksill/placement/task_plan.h
@@ -15,7 +15,7 @@
 
 // A machine that takes tasks of the job.
 struct MachineOption {
-  size_t machine = 0;  // its place in the list of machines of the present pass
+  size_t machine_index = 0;  // its place in the list of machines of the present pass
   const MachineCapacity* capacity = nullptr;
   uint32_t slots = 0;  // tasks for which it has room
   double start_s = 0;  // until the job's image is there
@@ -24,7 +24,7 @@
 
 // So many tasks go to the machine.
 struct Assignment {
-  size_t machine = 0;
+  size_t machine_index = 0;
   uint32_t tasks = 0;
 };
 
@@ -42,6 +42,6 @@
 std::vector<Assignment> assign_in_order(std::span<const MachineOption> options, Demand& demand);
 
 // The zone with the most room for the job, the first by name of several; empty if none has any.
-std::string roomiest_zone(const std::vector<MachineOption>& options);
+std::string zone_with_most_slots(const std::vector<MachineOption>& options);
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/unmet_requests.h
+++ b/src/rooksill/placement/unmet_requests.h
@@ -16,19 +16,19 @@
   // Whether a request that is no larger, under the same rules, found no place.
   bool covers(const model::JobSpec& spec) const;
   void add(const model::JobSpec& spec);
-  void clear() { smallest_.clear(); }
+  void clear() { smallest_by_class_.clear(); }
 
  private:
   // Jobs for which the same headroom, machines and victims count.
-  struct Kind {
-    bool spot = false;
-    bool saves = false;
+  struct RequestClass {
+    bool can_use_spot = false;
+    bool has_checkpoints = false;
     model::Priority priority = model::Priority::kStandard;
-    auto operator<=>(const Kind&) const = default;
+    auto operator<=>(const RequestClass&) const = default;
   };
-  static Kind kind_of(const model::JobSpec& spec);
+  static RequestClass class_of(const model::JobSpec& spec);
 
-  std::map<Kind, model::Resources> smallest_;
+  std::map<RequestClass, model::Resources> smallest_by_class_;
 };
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/work_order.cc
+++ b/src/rooksill/placement/work_order.cc
@@ -9,15 +9,15 @@
 
 namespace {
 // Seconds by which a job that can meet no objective stands back.
-constexpr double kMissedPenalty = 1e6;
+constexpr double kMissedObjectivePenaltySeconds = 1e6;
 // A job without any objective or deadline should be done after so many times its estimate.
-constexpr double kEstimates = 4;
+constexpr double kDefaultDeadlineEstimatesRatio = 4;
 }  // namespace
 
 double due_time(const model::Job& job, const std::vector<Objective>& objectives, double now) {
   const model::JobSpec& spec = job.spec;
-  double due = std::numeric_limits<double>::infinity();
-  double last = 0;
+  double earliest_due = std::numeric_limits<double>::infinity();
+  double latest_target = 0;
   for (const auto& objective : objectives) {
     if (objective.job_class != spec.job_class) continue;
     double target = 0;
@@ -27,18 +27,18 @@
       target = job.submitted + objective.within_s;
     else
       continue;
-    last = std::max(last, target);
-    if (target - spec.estimate_s >= now) due = std::min(due, target);
+    latest_target = std::max(latest_target, target);
+    if (target - spec.estimate_s >= now) earliest_due = std::min(earliest_due, target);
   }
-  if (last == 0) return job.submitted + spec.deadline_s.value_or(kEstimates * spec.estimate_s);
-  return std::isinf(due) ? last + kMissedPenalty : due;
+  if (latest_target == 0) return job.submitted + spec.deadline_s.value_or(kDefaultDeadlineEstimatesRatio * spec.estimate_s);
+  return std::isinf(earliest_due) ? latest_target + kMissedObjectivePenaltySeconds : earliest_due;
 }
 
-void sort_by_urgency(std::vector<WaitingShard>& shards) {
-  std::sort(shards.begin(), shards.end(), [](const WaitingShard& a, const WaitingShard& b) {
+void sort_by_urgency(std::vector<PendingShard>& shards) {
+  std::sort(shards.begin(), shards.end(), [](const PendingShard& a, const PendingShard& b) {
     if (a.job->spec.priority != b.job->spec.priority)
       return a.job->spec.priority > b.job->spec.priority;
-    return std::tie(a.due, a.job->spec.id, a.shard) < std::tie(b.due, b.job->spec.id, b.shard);
+    return std::tie(a.due_time, a.job->spec.id, a.shard) < std::tie(b.due_time, b.job->spec.id, b.shard);
   });
 }
 
--- a/src/rooksill/placement/zone_limits.cc
+++ b/src/rooksill/placement/zone_limits.cc
@@ -4,11 +4,11 @@
 
 namespace rooksill::placement {
 
-uint32_t ZoneLimits::left(const std::string& zone) const {
-  if (!only_zone_.empty() && zone != only_zone_) return 0;
-  auto there = in_zone_.find(zone);
-  if (there == in_zone_.end()) return most_in_zone_;
-  return most_in_zone_ - std::min(there->second, most_in_zone_);
+uint32_t ZoneLimits::remaining(const std::string& zone) const {
+  if (!required_zone_.empty() && zone != required_zone_) return 0;
+  auto found = tasks_by_zone_.find(zone);
+  if (found == tasks_by_zone_.end()) return max_tasks_per_zone_;
+  return max_tasks_per_zone_ - std::min(found->second, max_tasks_per_zone_);
 }
 
 }  // namespace rooksill::placement
