--- a/src/rooksill/placement/feasibility.cc
+++ b/src/rooksill/placement/feasibility.cc
@@ -7,11 +7,13 @@
 namespace rooksill::placement {
 
 namespace {
-// Part of an ordinary machine that work which may use spot machines leaves to work which may not.
+// Ratio of an ordinary (non-spot) machine's CPUs that jobs which may use spot machines leave free
+// for jobs which may not.
 constexpr double kOrdinaryHeadroomRatio = 0.1;
-// Part of the soonest start within which work has to be able to save and go, to need no headroom.
+// Jobs leave no headroom if they can save a checkpoint and exit within this ratio of the shortest
+// waiting time among the objectives.
 constexpr double kMaxSaveTimeRatio = 0.75;
-constexpr double kMaxSlots = 1e6;
+constexpr double kMaxSlots = 1e6;  // per machine and job
 }  // namespace
 
 Feasibility::Feasibility(const std::vector<Objective>& objectives)
@@ -32,10 +34,11 @@
   if (machine.is_spot || !spec.spot) return {};
   const double capacity = machine.type->capacity.cpus;
   const double headroom_cpus = kOrdinaryHeadroomRatio * capacity;
-  // Nobody's start is that urgent, or the task needs nearly all of the machine: with headroom it
-  // would never run there.
+  // No headroom without an objective for waiting times, nor for tasks that need nearly all of the
+  // machine: they could never run there.
   if (std::isinf(min_wait_objective_s_) || spec.request.cpus > capacity - headroom_cpus) return {};
-  // Work that saves and is gone before anybody's start is late need not leave anything free.
+  // Preemptible work with checkpoints that can save and exit before another job's start is late
+  // need not leave headroom.
   if (spec.priority < model::Priority::kUrgent && spec.checkpoint_s > 0 &&
       spec.save_s < kMaxSaveTimeRatio * min_wait_objective_s_)
     return {};
--- a/src/rooksill/placement/feasibility.h
+++ b/src/rooksill/placement/feasibility.h
@@ -1,4 +1,4 @@
-// Whether tasks of a job can go to a machine, and how many.
+// Decides whether tasks of a job can run on a machine, and how many.
 #pragma once
 
 #include <vector>
@@ -10,31 +10,36 @@
 
 namespace rooksill::placement {
 
+// Checks job constraints and computes the capacity that a machine has for tasks of a job. Jobs that
+// may use spot machines leave headroom on ordinary (non-spot) machines, so that jobs that may not
+// can start there at once.
 class Feasibility {
  public:
+  // Reads the shortest waiting time among the objectives; it decides which jobs leave headroom.
   explicit Feasibility(const std::vector<Objective>& objectives);
 
-  // Whether the job's constraints allow the machine, whatever is free there. Its type must be
-  // known.
+  // Returns whether the job's constraints (spot, zone, machine types) allow the machine, regardless
+  // of its free capacity. The machine's type must be known.
   static bool allows(const model::JobSpec& spec, const MachineCapacity& machine);
 
-  // What tasks of the job have to leave free on the machine, in CPUs: work that may run on spot
-  // machines keeps off a part of each ordinary machine, so that work that may not starts at once.
+  // Returns the resources (only CPUs) that tasks of the job must leave free on the machine. Zero on
+  // spot machines and for jobs that may not use spot machines.
   model::Resources headroom(const model::JobSpec& spec, const MachineCapacity& machine) const;
 
-  // Tasks of the job that fit in what is free, less the headroom and what is set aside for others.
-  // A whole number of at most a million.
+  // Returns how many tasks of the job fit in the machine's free resources, less the headroom and
+  // what is `reserved` for other jobs: a whole number, at most a million.
   double free_slots(const model::JobSpec& spec, const MachineCapacity& machine,
                     const model::Resources& reserved) const;
 
-  // What the machine has for the job once all that were told to stop are gone.
+  // Returns the resources available to the job once all evicted tasks have left the machine. The
+  // headroom is subtracted.
   model::Resources free_after_evictions(const model::JobSpec& spec,
-                                       const MachineCapacity& machine) const {
+                                        const MachineCapacity& machine) const {
     return machine.free + machine.evicting - headroom(spec, machine);
   }
 
  private:
-  double min_wait_objective_s_;  // of the objectives for waiting; infinite without any
+  double min_wait_objective_s_;  // shortest objective for waiting times; infinite without any
 };
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/gang_plan.cc
+++ b/src/rooksill/placement/gang_plan.cc
@@ -14,18 +14,19 @@
 namespace {
 
 struct GangPlan {
-  std::vector<Assignment> assignments;  // empty: the options do not hold all tasks
-  double start_s = 0;                   // of its last task
-  double score = 0;                     // over all tasks
+  std::vector<Assignment> assignments;  // empty: the options cannot hold all tasks
+  double start_s = 0;                   // start of its last task, in seconds from now
+  double score = 0;                     // sum over all tasks; lower is better
 };
 
+// Assigns all tasks of the demand in the order of the options; an empty plan if they do not fit.
 GangPlan assign_all_tasks(const std::vector<MachineOption>& options, Demand demand) {
   GangPlan plan;
   plan.assignments = assign_in_order(options, demand);
   if (demand.tasks > 0) return {};
   auto option = options.begin();
   for (const Assignment& assignment : plan.assignments) {
-    // Assignments come in the order of the options.
+    // Assignments are in the order of the options.
     while (option->machine_index != assignment.machine_index) ++option;
     plan.start_s = std::max(plan.start_s, option->start_s);
     plan.score += option->score * assignment.tasks;
@@ -33,11 +34,12 @@
   return plan;
 }
 
-// CPUs that the gang could have on the machine with all lower work gone.
+// CPUs available to the gang on the machine if all tasks of lower priority were evicted.
 double cpus_after_preemption(const model::JobSpec& spec, const MachineCapacity& machine,
-                      const Feasibility& feasibility) {
+                             const Feasibility& feasibility) {
   double cpus = feasibility.free_after_evictions(spec, machine).cpus;
-  for (size_t lower_priority = 0; lower_priority < static_cast<size_t>(spec.priority); ++lower_priority)
+  for (size_t lower_priority = 0; lower_priority < static_cast<size_t>(spec.priority);
+       ++lower_priority)
     cpus += machine.cpus_by_priority[lower_priority];
   return cpus;
 }
@@ -68,8 +70,8 @@
 }
 
 std::optional<GangCapacity> max_gang_capacity(const model::JobSpec& spec,
-                                       const std::vector<const MachineCapacity*>& machines,
-                                       const Feasibility& feasibility) {
+                                              const std::vector<const MachineCapacity*>& machines,
+                                              const Feasibility& feasibility) {
   if (spec.request.cpus <= 0) return std::nullopt;
   std::map<std::string, double> tasks_by_zone;
   for (const MachineCapacity* machine : machines) {
--- a/src/rooksill/placement/machine_capacity.h
+++ b/src/rooksill/placement/machine_capacity.h
@@ -1,4 +1,4 @@
-// What a machine has free, as the owner of its partition sees it.
+// The capacity of a machine and its use, as computed by its partition's owner.
 #pragma once
 
 #include <array>
@@ -13,31 +13,35 @@
 
 namespace rooksill::placement {
 
-// A snapshot of one machine: its owner computes it anew whenever tasks or images there change.
+// A snapshot of one machine. The partition owner recomputes it whenever the tasks or the images on
+// the machine change.
 struct MachineCapacity {
-  std::string machine;
+  std::string machine;                       // name
   const model::MachineType* type = nullptr;  // null: the machine or its type is not known
   int partition = 0;
   bool is_spot = false;
   std::string zone;
   model::Resources free;
-  // Resources of tasks that were told to stop and still run. They are not part of `free`.
+  // Resources of evicted tasks that still run. They are not part of `free`.
   model::Resources evicting;
-  uint32_t tasks = 0;
+  uint32_t tasks = 0;                // that count as running on the machine
   std::vector<int> cached_images;    // by the images' numbers in this process
-  std::vector<int> fetching_images;  // of tasks here, not in the cache yet
+  std::vector<int> fetching_images;  // needed by tasks on the machine and not in its cache yet
   // CPUs of the tasks that preemption may evict, by their priority.
   std::array<double, model::kPriorities> cpus_by_priority{};
-  // Kept so that it can be taken back from the use of the partition when this is computed anew.
+  // Resources in use by each team. They are subtracted from the partition's quota usage before a
+  // new snapshot is computed.
   std::map<std::string, model::Resources> usage_by_team;
 
+  // Returns whether the image is in the machine's cache.
   bool has_image(int image) const;
+  // Returns whether the machine is fetching the image.
   bool is_fetching(int image) const;
-  // Takes a task of the job into the books.
+  // Adds one task of the job to the machine's usage.
   void add_task(const model::Job& job);
-  // Takes one out that was added.
+  // Removes one task that was added by add_task(). The job's image stays among those fetched.
   void remove_task(const model::JobSpec& spec);
-  // CPUs that come free when everything below this priority is evicted.
+  // Returns the CPUs that would be freed by evicting all tasks below this priority.
   double preemptible_cpus(model::Priority priority) const;
 };
 
--- a/src/rooksill/placement/preemption.cc
+++ b/src/rooksill/placement/preemption.cc
@@ -7,26 +7,29 @@
 namespace rooksill::placement {
 
 namespace {
-constexpr int kMaxPreemptedMachinesPerPass = 64;  // in one pass
-// Evictions that accrue for each write, and seconds of them that are kept.
+constexpr int kMaxPreemptedMachinesPerPass = 64;
+// The eviction budget accrues by this much for each write that the store allows, and keeps at most
+// this many seconds of it.
 constexpr double kEvictionsPerWrite = 0.5;
 constexpr double kMaxAccrualSeconds = 2;
-// What one eviction costs of the budget.
+// Cost of one eviction by the priority of the job that it makes room for, in units of the budget.
 constexpr double kUrgentEvictionCost = 1;
 constexpr double kNonUrgentEvictionCost = 5;
-// Added to a machine's cost where more than idle work has to go.
+// Added to a machine's cost, in CPUs, if tasks above idle priority have to be evicted there.
 constexpr double kNonIdleCostPenalty = 1e3;
 
 double eviction_cost(const model::JobSpec& spec) {
   return spec.priority >= model::Priority::kUrgent ? kUrgentEvictionCost : kNonUrgentEvictionCost;
 }
 
+// Returns whether evictions for the job are limited by the budget.
 bool is_budget_limited(const model::JobSpec& spec) { return spec.shape == model::Shape::kArray; }
 }  // namespace
 
 void EvictionBudget::refill(double writes_per_s, double now_s) {
   const double rate = kEvictionsPerWrite * writes_per_s;
-  remaining_ = std::min(kMaxAccrualSeconds * rate, remaining_ + rate * std::max(0.0, now_s - refilled_at_s_));
+  remaining_ = std::min(kMaxAccrualSeconds * rate,
+                        remaining_ + rate * std::max(0.0, now_s - refilled_at_s_));
   refilled_at_s_ = now_s;
 }
 
@@ -38,7 +41,9 @@
       list_preemptible_(std::move(list_preemptible)),
       reserved_(machines.size()) {}
 
-bool PreemptionPlanner::is_exhausted() const { return preempted_machines_ >= kMaxPreemptedMachinesPerPass; }
+bool PreemptionPlanner::is_exhausted() const {
+  return preempted_machines_ >= kMaxPreemptedMachinesPerPass;
+}
 
 PreemptionPlan PreemptionPlanner::plan(PreemptionDemand demand) {
   PreemptionPlan plan;
@@ -48,25 +53,30 @@
   for (const Candidate& candidate : rank_candidates(demand)) {
     if (demand.tasks == 0 || is_exhausted()) break;
     if (is_budget_limited(spec) && !budget_.can_afford(eviction_cost(spec))) break;
-    if (can_use(demand, *machines_[candidate.machine_index])) evict_on(candidate.machine_index, demand, plan);
+    if (can_use(demand, *machines_[candidate.machine_index]))
+      evict_on(candidate.machine_index, demand, plan);
   }
   return plan;
 }
 
 bool PreemptionPlanner::can_use(const PreemptionDemand& demand,
-                               const MachineCapacity& machine) const {
+                                const MachineCapacity& machine) const {
   if (!Feasibility::allows(demand.job->spec, machine)) return false;
   if (demand.zones.remaining(machine.zone) == 0) return false;
   if (demand.requires_cached_image && !machine.has_image(demand.job->image)) return false;
   return demand.is_within_quota(machine.partition);
 }
 
-// What is free on the machine, or will be, and is promised to no task yet.
-model::Resources PreemptionPlanner::unreserved(const model::JobSpec& spec, size_t machine_index) const {
-  return feasibility_.free_after_evictions(spec, *machines_[machine_index]) - reserved_[machine_index];
+// Resources that are free on the machine, or will be once evicted tasks have left, and that are not
+// reserved for another task.
+model::Resources PreemptionPlanner::unreserved(const model::JobSpec& spec,
+                                               size_t machine_index) const {
+  return feasibility_.free_after_evictions(spec, *machines_[machine_index]) -
+         reserved_[machine_index];
 }
 
-void PreemptionPlanner::reserve(PreemptionDemand& demand, size_t machine_index, PreemptionPlan& plan) {
+void PreemptionPlanner::reserve(PreemptionDemand& demand, size_t machine_index,
+                                PreemptionPlan& plan) {
   reserved_[machine_index] += demand.job->spec.request;
   demand.zones.add(machines_[machine_index]->zone);
   --demand.tasks;
@@ -78,12 +88,13 @@
   for (size_t i = 0; i < machines_.size() && demand.tasks > 0; ++i) {
     const MachineCapacity& machine = *machines_[i];
     if (machine.evicting.cpus <= 0 && machine.evicting.memory_gb <= 0) continue;
-    while (demand.tasks > 0 && can_use(demand, machine) && spec.request.fits_in(unreserved(spec, i)))
+    while (demand.tasks > 0 && can_use(demand, machine) &&
+           spec.request.fits_in(unreserved(spec, i)))
       reserve(demand, i, plan);
   }
 }
 
-// Machines where little has to go, and only of the lowest priority, come first.
+// Ranks machines first where few CPUs have to be evicted, and only tasks of the lowest priority.
 std::vector<PreemptionPlanner::Candidate> PreemptionPlanner::rank_candidates(
     const PreemptionDemand& demand) const {
   const model::JobSpec& spec = demand.job->spec;
@@ -92,9 +103,10 @@
     const MachineCapacity& machine = *machines_[i];
     const double preemptible_cpus = machine.preemptible_cpus(spec.priority);
     if (preemptible_cpus <= 0 || !can_use(demand, machine)) continue;
-    // The headroom does not count, or room would be made again and again that nobody may use.
+    // Excludes the headroom: otherwise tasks would be evicted again and again for capacity that
+    // the job may not use.
     const double reachable_cpus = machine.free.cpus + machine.evicting.cpus + preemptible_cpus -
-                             feasibility_.headroom(spec, machine).cpus;
+                                  feasibility_.headroom(spec, machine).cpus;
     if (reachable_cpus + model::Resources::kRoundingError < spec.request.cpus) continue;
     const double missing_cpus =
         std::max(0.0, spec.request.cpus - machine.free.cpus - machine.evicting.cpus);
@@ -108,9 +120,10 @@
   return candidates;
 }
 
-// Evicts as few tasks as it takes, the lowest priorities first, for one task of the demand after
-// the other.
-void PreemptionPlanner::evict_on(size_t machine_index, PreemptionDemand& demand, PreemptionPlan& plan) {
+// Evicts as few tasks as needed, the lowest priorities first, for one task of the demand after the
+// other.
+void PreemptionPlanner::evict_on(size_t machine_index, PreemptionDemand& demand,
+                                 PreemptionPlan& plan) {
   const model::JobSpec& spec = demand.job->spec;
   std::vector<PreemptibleTask> tasks = list_preemptible_(*machines_[machine_index], spec.priority);
   std::sort(tasks.begin(), tasks.end(), [](const PreemptibleTask& a, const PreemptibleTask& b) {
--- a/src/rooksill/placement/preemption.h
+++ b/src/rooksill/placement/preemption.h
@@ -1,4 +1,4 @@
-// Which tasks are evicted so that work of a higher priority finds room.
+// Selects the tasks to evict so that work of a higher priority can be placed.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +14,22 @@
 
 namespace rooksill::placement {
 
-// What array jobs may evict. An eviction takes writes, to stop a task and to place it anew, so the
-// budget grows with the rate of writes. Times are of the steady clock, in seconds.
+// Limits the evictions on behalf of array jobs. An eviction costs writes to the store, to stop the
+// task and to place it again, so the budget grows with the rate of writes. Times are in seconds of
+// the steady clock.
 class EvictionBudget {
  public:
-  // Adds what has accrued since the last call, up to a bound.
+  // Adds what has accrued since the last call, up to a limit.
   void refill(double writes_per_s, double now_s);
+  // Returns whether the budget covers an eviction of this cost.
   bool can_afford(double cost) const { return remaining_ >= cost; }
-  // May go below zero: a task is not evicted in part.
+  // Subtracts the cost. The budget may go below zero, because a set of evictions that makes room
+  // for one task is not carried out in part.
   void spend(double cost) { remaining_ -= cost; }
 
  private:
-  double remaining_ = 0;
-  double refilled_at_s_ = 0;
+  double remaining_ = 0;      // in units of an eviction for an urgent job
+  double refilled_at_s_ = 0;  // of the last refill()
 };
 
 // A task that work of a higher priority may evict.
@@ -36,47 +39,52 @@
   model::Resources request;
 };
 
-// The tasks on a machine with a priority below the given one that may be evicted and are not yet.
+// Lists the tasks on a machine with a priority below the given one that may be evicted and have not
+// been evicted yet.
 using ListPreemptible = std::function<std::vector<PreemptibleTask>(const MachineCapacity& machine,
                                                                    model::Priority below)>;
 
-// Tasks that need room, and what bounds where it may be made.
+// Tasks that need capacity, and the limits on where it may be freed.
 struct PreemptionDemand {
   const model::Job* job = nullptr;
   uint32_t tasks = 0;
   ZoneLimits zones;
-  bool requires_cached_image = false;                     // on machines that have the job's image
-  std::function<bool(int partition)> is_within_quota;  // whether one more task is
+  bool requires_cached_image = false;  // only machines that have the job's image
+  // Returns whether the team's quota allows one more task in the partition.
+  std::function<bool(int partition)> is_within_quota;
 };
 
 // The tasks to evict on one machine.
 struct Eviction {
-  size_t machine_index = 0;  // its place in the list of machines
+  size_t machine_index = 0;  // in the planner's list of machines
   std::vector<model::TaskRef> tasks;
 };
 
+// The result of PreemptionPlanner::plan().
 struct PreemptionPlan {
-  uint32_t tasks = 0;  // of the demand, for which room is on its way
+  uint32_t tasks = 0;  // of the demand, for which capacity is being or will be freed
   std::vector<Eviction> evictions;
 };
 
-// Plans the preemption of one pass of placement, job after job. Room that was promised to one job
-// is not promised to another; whoever carries a plan out has to update the capacities of the
-// machines before the next one.
+// Plans the preemption of one placement pass, job after job. Capacity that is reserved for one job
+// is not reserved for another. The caller has to carry out each plan and update the machines'
+// capacities before it asks for the next one.
 class PreemptionPlanner {
  public:
   using Machines = std::vector<const MachineCapacity*>;
 
+  // The references must outlive the planner.
   PreemptionPlanner(const Machines& machines, const Feasibility& feasibility,
                     EvictionBudget& budget, ListPreemptible list_preemptible);
 
-  // Whether no more machines may be preempted in this pass.
+  // Returns whether the limit of machines to preempt in one pass is reached.
   bool is_exhausted() const;
-  // First what is being vacated already, as far as it is promised to nobody, then evictions.
+  // Reserves capacity for the demand: first what evicted tasks are about to free and is not
+  // reserved yet, then what new evictions free.
   PreemptionPlan plan(PreemptionDemand demand);
 
  private:
-  // A machine where evictions make room; the smaller the cost, the better.
+  // A machine where evictions can free capacity. A lower cost is better.
   struct Candidate {
     double cost = 0;
     size_t machine_index = 0;
@@ -93,8 +101,8 @@
   const Feasibility& feasibility_;
   EvictionBudget& budget_;
   ListPreemptible list_preemptible_;
-  std::vector<model::Resources> reserved_;  // by machine
-  int preempted_machines_ = 0;
+  std::vector<model::Resources> reserved_;  // by machine index
+  int preempted_machines_ = 0;              // in this pass
 };
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/ranking.cc
+++ b/src/rooksill/placement/ranking.cc
@@ -6,17 +6,19 @@
 namespace rooksill::placement {
 
 namespace {
-constexpr double kMinFetchGbPerSecond = 0.01;  // GB/s: bounds the wait where the catalogue has no rate
-// Weights of the terms of a score.
+constexpr double kMinFetchGbPerSecond = 0.01;  // limits the wait if the catalogue has no fetch rate
+// Weights of the terms of a score, which is lower for better machines.
 constexpr double kFailedOnMachineWeight = 1e6;
 constexpr double kOrdinaryForSpotWeight = 300;
-constexpr double kFetchWeight = 100;  // for having to fetch at all, and for each second of it
-constexpr double kPriceWeight = 50;   // for each multiple of the cheapest CPU's price
-constexpr double kFreeCpusWeight = 10;   // of a machine without any task
-// Of the wait for an image that other tasks wait for already: those waiting for one go together.
+constexpr double kFetchWeight = 100;  // if the image has to be fetched, and per second of the fetch
+constexpr double kPriceWeight = 50;   // per multiple of the price of the cheapest CPU
+constexpr double kFreeCpusWeight =
+    10;  // if all CPUs are free; proportional to the ratio of free CPUs
+// Applied to the fetch time of an image that the machine is fetching already, so that tasks with
+// the same image are placed together.
 constexpr double kSharedFetchRatio = 0.5;
 
-// Fetching an image alone, in seconds.
+// Seconds to fetch the job's image if the machine fetches no other.
 double fetch_time_s(const model::Job& job, const MachineCapacity& machine) {
   return job.spec.image_gb / std::max(kMinFetchGbPerSecond, machine.type->fetch_gb_per_s);
 }
@@ -39,9 +41,10 @@
   double total = 0;
   if (!machine.has_image(job.image)) {
     const bool is_shared = machine.is_fetching(job.image);
-    const double other_fetches = static_cast<double>(machine.fetching_images.size()) - (is_shared ? 1 : 0);
-    total +=
-        kFetchWeight * (1 + fetch_time_s(job, machine) * (is_shared ? kSharedFetchRatio : 1) * (1 + other_fetches));
+    const double other_fetches =
+        static_cast<double>(machine.fetching_images.size()) - (is_shared ? 1 : 0);
+    total += kFetchWeight * (1 + fetch_time_s(job, machine) * (is_shared ? kSharedFetchRatio : 1) *
+                                     (1 + other_fetches));
   }
   if (job.spec.spot && !machine.is_spot) total += kOrdinaryForSpotWeight;
   if (has_failed_on_machine) total += kFailedOnMachineWeight;
--- a/src/rooksill/placement/ranking.h
+++ b/src/rooksill/placement/ranking.h
@@ -1,4 +1,4 @@
-// How good a place a machine is for a job's tasks.
+// Scores machines for the tasks of a job.
 #pragma once
 
 #include <map>
@@ -10,17 +10,20 @@
 
 namespace rooksill::placement {
 
-// The lowest price of a CPU, an hour, among ordinary machines of all types; 1 if none has a price.
+// Returns the lowest hourly price of one CPU among ordinary (non-spot) machines of all types; 1 if
+// none has a price.
 double cheapest_cpu_price(const std::map<std::string, model::MachineType>& types);
 
-// Seconds until the machine has the image of the job; 0 if it is in its cache. Images that are
-// fetched at the same time share the rate.
+// Returns the seconds until the job's image is in the machine's cache; 0 if it is there already.
+// Images that are fetched at the same time share the machine's fetch rate.
 double image_wait_s(const model::Job& job, const MachineCapacity& machine);
 
-// The smaller, the better a place. In the order of their weights: the job's tasks have not failed
-// there, spot work goes to spot machines, the image is there or comes soon, CPUs are cheap, and the
-// machine is full already, so that others empty.
-double score(const model::Job& job, const MachineCapacity& machine, double cheapest_cpu_price,
+// Returns the machine's score for the job; lower is better. Prefers, in descending order of weight:
+// machines where the job's tasks have not failed, spot machines for jobs that may use them,
+// machines that have the image or will have it soon, cheap CPUs, and machines with few free CPUs
+// (bin packing, so that other machines become empty). `cheapest_price` is the result of
+// cheapest_cpu_price().
+double score(const model::Job& job, const MachineCapacity& machine, double cheapest_price,
              bool has_failed_on_machine);
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/task_plan.h
+++ b/src/rooksill/placement/task_plan.h
@@ -1,4 +1,4 @@
-// Which machines take how many of a job's tasks.
+// Distributes the tasks of a job over machines.
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,38 @@
 
 namespace rooksill::placement {
 
-// A machine that takes tasks of the job.
+// A machine that can run tasks of the job.
 struct MachineOption {
-  size_t machine_index = 0;  // its place in the list of machines of the present pass
+  size_t machine_index = 0;  // in the list of machines of the current pass
   const MachineCapacity* capacity = nullptr;
-  uint32_t slots = 0;  // tasks for which it has room
-  double start_s = 0;  // until the job's image is there
-  double score = 0;    // the smaller, the better a place
+  uint32_t slots = 0;  // how many tasks of the job fit
+  double start_s = 0;  // seconds until the job's image is in the machine's cache
+  double score = 0;    // lower is better
 };
 
-// So many tasks go to the machine.
+// Places a number of tasks on a machine.
 struct Assignment {
-  size_t machine_index = 0;
+  size_t machine_index = 0;  // in the list of machines of the current pass
   uint32_t tasks = 0;
 };
 
-// What is still to be placed, and what bounds it besides the machines.
+// The tasks still to be placed, and the limits that apply besides the machines' capacity.
 struct Demand {
   uint32_t tasks = 0;
   ZoneLimits zones;
-  std::map<int, double> quota_tasks;  // by partition: how many more the team's quota allows there
+  std::map<int, double> quota_tasks;  // by partition: how many more tasks the team's quota allows
 };
 
-// By score, then by the machine's name.
+// Sorts the options by score, then by the machine's name.
 void sort_by_score(std::vector<MachineOption>& options);
 
-// Fills one machine after the other, in the order given, and takes what it assigns off the demand.
+// Fills one machine after the other in the given order, and subtracts the assigned tasks from the
+// demand. `demand.quota_tasks` must have an entry for the partition of each option that may be
+// used: a partition without one gets no tasks.
 std::vector<Assignment> assign_in_order(std::span<const MachineOption> options, Demand& demand);
 
-// The zone with the most room for the job, the first by name of several; empty if none has any.
+// Returns the zone with the most slots for the job, the first by name in a tie; empty if no zone
+// has any.
 std::string zone_with_most_slots(const std::vector<MachineOption>& options);
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/unmet_requests.cc
+++ b/src/rooksill/placement/unmet_requests.cc
@@ -4,12 +4,13 @@
 
 namespace {
 
-// A job that is bound to some machines says nothing of the others.
+// Returns whether the job may run on any machine. A job that is restricted to some machines says
+// nothing about the others.
 bool is_unconstrained(const model::JobSpec& spec) {
   return spec.zone.empty() && spec.types.empty() && !spec.spread && !spec.one_zone;
 }
 
-// Compared without any tolerance, so that a request covers itself and no smaller one.
+// Compares without a rounding tolerance, so that a request covers itself and no smaller one.
 bool is_at_most(const model::Resources& a, const model::Resources& b) {
   return a.cpus <= b.cpus && a.gpus <= b.gpus && a.memory_gb <= b.memory_gb;
 }
@@ -28,8 +29,8 @@
 
 void UnmetRequests::add(const model::JobSpec& spec) {
   if (!is_unconstrained(spec)) return;
-  auto [known, fresh] = smallest_by_class_.try_emplace(class_of(spec), spec.request);
-  if (!fresh && is_at_most(spec.request, known->second)) known->second = spec.request;
+  auto [smallest, inserted] = smallest_by_class_.try_emplace(class_of(spec), spec.request);
+  if (!inserted && is_at_most(spec.request, smallest->second)) smallest->second = spec.request;
 }
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/unmet_requests.h
+++ b/src/rooksill/placement/unmet_requests.h
@@ -1,4 +1,4 @@
-// Requests for which no machine had room in the present pass.
+// Requests for which no machine had capacity in the current placement pass.
 #pragma once
 
 #include <compare>
@@ -9,17 +9,20 @@
 
 namespace rooksill::placement {
 
-// Spares the search for a place where a request as small found none before: of a long queue nearly
-// all shards end here.
+// Skips the search for a machine where a request of the same class that is no larger found none in
+// this pass. With a long queue, nearly all shards are skipped this way.
 class UnmetRequests {
  public:
-  // Whether a request that is no larger, under the same rules, found no place.
+  // Returns whether a request of the same class that is no larger in any resource found no machine.
   bool covers(const model::JobSpec& spec) const;
+  // Records that the job's request found no machine. Ignores jobs with placement constraints, which
+  // say nothing about the machines that they exclude.
   void add(const model::JobSpec& spec);
+  // Removes all requests.
   void clear() { smallest_by_class_.clear(); }
 
  private:
-  // Jobs for which the same headroom, machines and victims count.
+  // Jobs with the same headroom, allowed machines and preemptible tasks.
   struct RequestClass {
     bool can_use_spot = false;
     bool has_checkpoints = false;
--- a/src/rooksill/placement/work_order.cc
+++ b/src/rooksill/placement/work_order.cc
@@ -8,9 +8,10 @@
 namespace rooksill::placement {
 
 namespace {
-// Seconds by which a job that can meet no objective stands back.
+// Added to the due time of a job that can meet no objective any more, so that jobs that can still
+// meet one come first.
 constexpr double kMissedObjectivePenaltySeconds = 1e6;
-// A job without any objective or deadline should be done after so many times its estimate.
+// Due time of a job without objective and deadline, as a multiple of its estimated run time.
 constexpr double kDefaultDeadlineEstimatesRatio = 4;
 }  // namespace
 
@@ -30,7 +31,9 @@
     latest_target = std::max(latest_target, target);
     if (target - spec.estimate_s >= now) earliest_due = std::min(earliest_due, target);
   }
-  if (latest_target == 0) return job.submitted + spec.deadline_s.value_or(kDefaultDeadlineEstimatesRatio * spec.estimate_s);
+  if (latest_target == 0)
+    return job.submitted +
+           spec.deadline_s.value_or(kDefaultDeadlineEstimatesRatio * spec.estimate_s);
   return std::isinf(earliest_due) ? latest_target + kMissedObjectivePenaltySeconds : earliest_due;
 }
 
@@ -38,7 +41,8 @@
   std::sort(shards.begin(), shards.end(), [](const PendingShard& a, const PendingShard& b) {
     if (a.job->spec.priority != b.job->spec.priority)
       return a.job->spec.priority > b.job->spec.priority;
-    return std::tie(a.due_time, a.job->spec.id, a.shard) < std::tie(b.due_time, b.job->spec.id, b.shard);
+    return std::tie(a.due_time, a.job->spec.id, a.shard) <
+           std::tie(b.due_time, b.job->spec.id, b.shard);
   });
 }
 
--- a/src/rooksill/placement/work_order.h
+++ b/src/rooksill/placement/work_order.h
@@ -1,4 +1,4 @@
-// In which order shards of jobs look for places.
+// The order in which pending shards are placed.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +9,19 @@
 
 namespace rooksill::placement {
 
-// A shard with tasks that need a place.
+// A shard with tasks to be placed.
 struct PendingShard {
   const model::Job* job = nullptr;
-  uint32_t shard = 0;
-  double due_time = 0;  // wall clock
+  uint32_t shard = 0;   // index in the job
+  double due_time = 0;  // wall clock, in seconds; see due_time()
 };
 
-// When the job should be done, by the wall clock: the first objective of its class that it can
-// still meet. A job that can meet none is due long after all that can.
+// Returns when the job should be finished, in seconds of the wall clock: the earliest objective of
+// its class that it can still meet. A job that can meet none is due long after all that can.
 double due_time(const model::Job& job, const std::vector<Objective>& objectives, double now);
 
-// By priority, then by due time. Ties go by the job's id, so that every owner has the same order.
+// Sorts by descending priority, then by due time. Ties are broken by job id and shard, so that all
+// partition owners use the same order.
 void sort_by_urgency(std::vector<PendingShard>& shards);
 
 }  // namespace rooksill::placement
