--- a/src/rooksill/changes/owned_partitions.h
+++ b/src/rooksill/changes/owned_partitions.h
@@ -9,27 +9,30 @@
 
 namespace rooksill::changes {
 
-// Partitions that this process acquired and has not released, each with the revision of the lease
-// that it was acquired under. A partition whose lease has changed since is still listed, but not
-// owned any more: one that went to another owner and came back within a batch is not the one that
-// was acquired.
+// Partitions that this process has acquired and not released, each with the revision of the lease
+// under which it was acquired. A partition whose lease has changed since stays in the list but is
+// not owned any more. The revision is compared because a partition may go to another owner and come
+// back within one batch of updates; it then has to be acquired again.
 class OwnedPartitions {
  public:
+  // The replica must outlive this object.
   explicit OwnedPartitions(const store::Replica& replica) : replica_(replica) {}
 
-  // Acquires a partition under the lease that the replica has of it now.
+  // Acquires a partition under its current lease in the replica.
   void acquire(int partition);
+  // Releases a partition.
   void release(int partition) { lease_revisions_.erase(partition); }
 
-  // Acquired and not released, whatever became of its lease.
+  // Returns whether the partition was acquired and not released, even if its lease has changed.
   bool has_acquired(int partition) const { return lease_revisions_.count(partition) != 0; }
-  // Whether the lease that the partition was acquired under is still the present one.
+  // Returns whether the partition was acquired under its current lease.
   bool owns(int partition) const;
-  // Whether the partition is owned under the lease with this revision.
+  // Returns whether the partition is owned and its lease has this revision.
   bool owns_under_lease(int partition, model::Revision lease_revision) const;
 
+  // Returns whether no partition is acquired.
   bool empty() const { return lease_revisions_.empty(); }
-  // The partitions acquired, in ascending order.
+  // Returns the acquired partitions in ascending order.
   std::vector<int> acquired_partitions() const;
 
  private:
--- a/src/rooksill/changes/shard_changes.h
+++ b/src/rooksill/changes/shard_changes.h
@@ -1,4 +1,4 @@
-// The changes of one shard's tasks that the store does not have yet.
+// The changes of one shard's tasks that are not in the store yet.
 #pragma once
 
 #include <cstdint>
@@ -9,45 +9,52 @@
 
 namespace rooksill::changes {
 
-// Changes wait until they are sent in one transaction, and stay `sent` until its outcome is
-// certain. Meanwhile new ones may wait beside them; those are not sent before that.
+// Changes are pending until they are sent in one transaction, and then `sent` until the outcome of
+// the transaction is certain. New changes may become pending meanwhile; they are not sent before
+// that outcome is certain.
 class ShardChanges {
  public:
   using ChangesByIndex = std::map<uint32_t, TaskChange>;  // by the task's index in the shard
 
+  // The state of the last transaction with changes of this shard.
   enum class SendState {
-    kIdle,      // nothing was sent, or what was sent has a certain outcome
-    kSent,         // a transaction has no answer yet
-    kReadingBack,  // it failed or may have failed: the keys it concerns are being read
+    kIdle,         // nothing was sent, or the outcome of what was sent is certain
+    kSent,         // the transaction has no response yet
+    kReadingBack,  // the transaction failed or may have failed: its keys are being read
   };
 
-  // The change of a task that is sent, or else the one that waits; nullptr if there is none.
+  // Returns the sent change of a task, or else its pending change; nullptr if there is none.
   const TaskChange* find(uint32_t index) const;
+  // Returns the changes that have not been sent.
   const ChangesByIndex& pending() const { return pending_; }
+  // Returns the changes that were sent and whose outcome is not certain.
   const ChangesByIndex& sent() const { return sent_; }
 
-  // Whether changes were sent whose outcome is not certain.
+  // Returns whether changes were sent whose outcome is not certain.
   bool is_in_flight() const { return send_state_ != SendState::kIdle; }
-  // The shard's revision that the sent changes rest on: none of them can be applied any more once
-  // it has changed.
+  // Returns the shard's revision that the sent changes require. Once the shard has another
+  // revision, they can no longer be applied.
   model::Revision sent_revision() const { return sent_revision_; }
-  // When the oldest of the waiting changes came, in seconds of the steady clock.
+  // Returns when the oldest pending change was added, in seconds of the steady clock.
   double pending_since() const { return pending_since_; }
 
-  // Adds a change that waits. A placement after a loss that still waits takes its place and records
-  // both. Any other task that has a change waiting keeps that one.
+  // Adds a pending change. A placement replaces a pending loss of the same task and records both.
+  // In all other cases a task that has a pending change keeps that one.
   void add(uint32_t index, TaskChange change, double now);
-  // Removes a change that waits. Returns the position after it.
+  // Removes a pending change. Returns the position after it.
   ChangesByIndex::const_iterator remove_pending(ChangesByIndex::const_iterator position) {
     return pending_.erase(position);
   }
+  // Removes and returns all pending changes.
   ChangesByIndex extract_pending();
 
+  // Marks all pending changes as sent in a transaction that requires this revision of the shard.
   void mark_sent(model::Revision shard_revision);
+  // Records that the keys of the transaction are being read to find out its outcome.
   void mark_reading_back() { send_state_ = SendState::kReadingBack; }
-  // The outcome is certain: removes what was sent.
+  // Removes and returns the sent changes, once their outcome is certain.
   ChangesByIndex extract_sent();
-  // What was sent waits again, except where a newer change waits already.
+  // Makes the sent changes pending again, except for tasks that have a newer pending change.
   void requeue_sent();
 
  private:
--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr size_t kPreconditionsPerWrite = 4;  // of the store's limit of writes in a transaction
-constexpr size_t kWriteOverheadBytes = 200;   // of a write besides its value, and its preconditions
+constexpr size_t kPreconditionsPerWrite = 4;  // limit, relative to that of writes per transaction
+constexpr size_t kWriteOverheadBytes = 200;   // per write with its preconditions, besides the value
 
 const char* counter_name(TaskChange::Kind kind) {
   switch (kind) {
@@ -32,9 +32,8 @@
                                                  const OwnedPartitions& owned_partitions)
     : context_(context), replica_(replica), owned_partitions_(owned_partitions) {}
 
-ShardTransactionBuilder::AddResult ShardTransactionBuilder::add(const model::ShardId& id,
-                                                            ShardChanges& changes,
-                                                            std::vector<RemovedChange>& removed) {
+ShardTransactionBuilder::AddResult ShardTransactionBuilder::add(
+    const model::ShardId& id, ShardChanges& changes, std::vector<RemovedChange>& removed) {
   const model::Job* job = replica_.job(id.job);
   if (job == nullptr || id.index >= job->shards.size()) {
     for (auto& [index, change] : changes.extract_pending())
@@ -60,10 +59,11 @@
 
 bool ShardTransactionBuilder::has_capacity_for(const Preconditions& added) const {
   if (shards_.empty()) return true;
-  const auto new_preconditions = std::count_if(added.begin(), added.end(), [&](const auto& precondition) {
-    return preconditions_.count(precondition.first) == 0;
-  });
-  const size_t max_preconditions = context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
+  const auto new_preconditions = std::count_if(
+      added.begin(), added.end(),
+      [&](const auto& precondition) { return preconditions_.count(precondition.first) == 0; });
+  const size_t max_preconditions =
+      context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
   return preconditions_.size() + static_cast<size_t>(new_preconditions) <= max_preconditions;
 }
 
@@ -74,7 +74,7 @@
   writes_.push_back({key, update.extract_value(), 0});
 }
 
-// A few bytes: they count as part of the shard's overhead.
+// The value is a few bytes, which are covered by the overhead of the shard's write.
 void ShardTransactionBuilder::write_job_end(const model::Job& job) {
   model::Job ended;
   ended.spec.tasks = job.spec.tasks;
--- a/src/rooksill/changes/shard_transaction_builder.h
+++ b/src/rooksill/changes/shard_transaction_builder.h
@@ -1,4 +1,4 @@
-// Gathers the updates of several shards into one transaction.
+// Combines the updates of several shards into one transaction.
 #pragma once
 
 #include <cstddef>
@@ -15,35 +15,45 @@
 
 namespace rooksill::changes {
 
+// Collects the writes and preconditions of a transaction, shard by shard. The shards that have been
+// added are listed in shards().
 class ShardTransactionBuilder {
  public:
+  // The outcome of add().
   enum class AddResult {
-    kAdded,     // the shard's waiting changes go with the transaction, and are marked as sent
-    kNoChanges,   // no change of the shard is of use any more
-    kTooLarge,  // the shard's value is over the store's limit, or was until no change was left
-    kFull,      // the transaction has no room for the shard's preconditions
+    kAdded,      // the shard's pending changes are in the transaction and marked as sent
+    kNoChanges,  // all changes of the shard were stale: none is left
+    kTooLarge,   // the shard's value exceeds the store's limit, or did until no change was left
+    kFull,       // the transaction has no capacity for the shard's preconditions
   };
 
-  // Writes that a shard takes at most: its own, and that of its job if this ends it.
+  // The most writes that a shard needs: its own, and that of its job if the update ends the job.
   static constexpr size_t kMaxShardWrites = 2;
 
   // All arguments must outlive the builder.
   ShardTransactionBuilder(runtime::Context& context, const store::Replica& replica,
                           const OwnedPartitions& owned_partitions);
 
-  // Adds what a shard's waiting changes come to. Those that are out of date are removed from
-  // `changes`, also where nothing is added, and appended to `removed`.
-  AddResult add(const model::ShardId& id, ShardChanges& changes, std::vector<RemovedChange>& removed);
+  // Adds the update that results from a shard's pending changes. Stale changes are removed from
+  // `changes`, even if nothing is added, and appended to `removed`. So are placements that make the
+  // shard's value too large.
+  AddResult add(const model::ShardId& id, ShardChanges& changes,
+                std::vector<RemovedChange>& removed);
 
+  // Returns whether no shard has been added.
   bool empty() const { return shards_.empty(); }
+  // Returns the number of writes.
   size_t write_count() const { return writes_.size(); }
-  // Of the values written and what comes around them, about.
+  // Returns the approximate size of the transaction: the values and an overhead for each write.
   size_t estimated_bytes() const { return estimated_bytes_; }
 
+  // Returns the preconditions of all shards.
   std::vector<store::Precondition> preconditions() const;
+  // Moves the writes out of the builder.
   std::vector<store::Write> extract_writes() { return std::move(writes_); }
+  // Returns the shards that have been added.
   const std::vector<model::ShardId>& shards() const { return shards_; }
-  // The keys written.
+  // Returns the keys that are written.
   const std::vector<std::string>& keys() const { return keys_; }
 
  private:
--- a/src/rooksill/changes/shard_update.cc
+++ b/src/rooksill/changes/shard_update.cc
@@ -16,13 +16,15 @@
 
 bool is_gang(const model::Job& job) { return job.spec.shape == model::Shape::kGang; }
 
-// Whether where a task may be placed depends on where the job's others are, in whatever shard.
-bool has_dependent_placements(const model::Job& job) { return job.spec.spread || job.spec.one_zone; }
+// Returns whether the placement of a task depends on those of the job's other tasks, in any shard.
+bool has_dependent_placements(const model::Job& job) {
+  return job.spec.spread || job.spec.one_zone;
+}
 
 }  // namespace
 
 model::Revision placement_basis_revision(const store::Replica& replica, const model::Job& job,
-                                int partition) {
+                                         int partition) {
   model::Revision newest = replica.leases[static_cast<size_t>(partition)].revision;
   if (has_dependent_placements(job))
     for (const model::TaskShard& shard : job.shards) newest = std::max(newest, shard.revision);
@@ -58,12 +60,15 @@
   deletes_shard_ = finishes_job_ || (job_.over() && !has_placed_tasks);
 }
 
-// A change is worth what its owner knew. Once the partition was with another owner in between, that
-// one may have started a lost task in place, which changes nothing in the store: so each lease that
-// a change rests on has to be the one it was decided under, that of the machine left as well.
+// Returns whether all leases that the change depends on are those under which it was decided,
+// including that of the previous machine. If a partition had another owner in between, that owner
+// may have restarted a lost task on its machine, which changes nothing in the store.
 bool ShardUpdate::has_current_leases(const TaskChange& change) const {
-  if (!owned_partitions_.owns_under_lease(change.machine.partition, change.machine.lease_revision)) return false;
-  return !change.previous_machine || owned_partitions_.owns_under_lease(change.previous_machine->partition, change.previous_machine->lease_revision);
+  if (!owned_partitions_.owns_under_lease(change.machine.partition, change.machine.lease_revision))
+    return false;
+  return !change.previous_machine ||
+         owned_partitions_.owns_under_lease(change.previous_machine->partition,
+                                            change.previous_machine->lease_revision);
 }
 
 bool ShardUpdate::apply_change(const TaskChange& change, model::TaskState& state) const {
@@ -74,16 +79,18 @@
 bool ShardUpdate::apply_placement(const TaskChange& change, model::TaskState& state) const {
   const bool is_previous_attempt_gone =
       change.previous_machine && !state.done && state.machine == change.previous_machine->name;
-  // All tasks of a gang share their attempt's number.
+  // All tasks of a gang have the same attempt number.
   const bool is_next_attempt =
       is_gang(job_) ? change.attempt > state.attempt : change.attempt == state.attempt + 1;
   if (!is_next_attempt || job_.over()) return false;
   if (!is_previous_attempt_gone && !replica_.waits(state)) return false;
   if (replica_.machine_gone(change.machine.name)) return false;
-  if (change.basis_revision != placement_basis_revision(replica_, job_, change.machine.partition)) return false;
-  // Taken from a machine that is in no list: only if the lists are known as far as this shard. With
-  // older lists, a machine that was just assigned would look gone.
-  if (!state.machine.empty() && !is_previous_attempt_gone && !replica_.lists_cover(shard_)) return false;
+  if (change.basis_revision != placement_basis_revision(replica_, job_, change.machine.partition))
+    return false;
+  // The task's machine is in no list: requires lists at least as new as this shard. With older
+  // lists, a machine that was rented recently would be taken for a released one.
+  if (!state.machine.empty() && !is_previous_attempt_gone && !replica_.lists_cover(shard_))
+    return false;
   state.machine = change.machine.name;
   state.attempt = change.attempt;
   return true;
@@ -97,7 +104,7 @@
   return true;
 }
 
-// All tasks of a gang's attempt are placed by one change, or none is; and all are done when one is.
+// Places all tasks of a gang's attempt in one update, or none. All of them are done when one is.
 void ShardUpdate::enforce_gang_atomicity() {
   const auto is_done = [](const model::TaskState& task) { return task.done; };
   if (std::any_of(tasks_.begin(), tasks_.end(), is_done)) return complete_gang();
@@ -124,7 +131,7 @@
          });
 }
 
-// Removes a change that waits, and takes its effect back.
+// Removes a pending change and undoes its effect on the task.
 ShardChanges::ChangesByIndex::const_iterator ShardUpdate::remove_change(
     ShardChanges::ChangesByIndex::const_iterator position) {
   const auto& [index, change] = *position;
@@ -133,10 +140,10 @@
   return changes_.remove_pending(position);
 }
 
-// The value must be one that the store takes, also with the limits to come. With names of unusual
-// length, placements are given up until it is; a gang's would have to go all at once. A value from
-// before the limits were lowered may be too large without any: it waits until enough of its tasks
-// have ended.
+// The store must accept the value, also under limits that are lowered later. With unusually long
+// names, placements are removed until the value fits; those of a gang could only be removed all at
+// once, so they are kept. A value written before the limits were lowered may be too large without
+// any placement: its changes stay pending until enough of its tasks have ended.
 bool ShardUpdate::encode(size_t max_bytes) {
   if (deletes_shard_) return true;
   value_ = wire::encode_shard(tasks_);
@@ -164,7 +171,9 @@
   for (const auto& [index, change] : changes_.pending()) {
     has_placement = has_placement || is_placement(change);
     result[wire::lease_key(change.machine.partition)] = change.machine.lease_revision;
-    if (change.previous_machine) result[wire::lease_key(change.previous_machine->partition)] = change.previous_machine->lease_revision;
+    if (change.previous_machine)
+      result[wire::lease_key(change.previous_machine->partition)] =
+          change.previous_machine->lease_revision;
   }
   result[wire::shard_key(id_.job, id_.index)] = shard_.revision;
   if (has_placement || deletes_shard_) result[wire::job_key(id_.job)] = job_.revision;
--- a/src/rooksill/changes/shard_update.h
+++ b/src/rooksill/changes/shard_update.h
@@ -1,4 +1,4 @@
-// What the waiting changes of a shard come to: its new value, and the revisions that this rests on.
+// The update that results from a shard's pending changes: its new value and its preconditions.
 #pragma once
 
 #include <cstddef>
@@ -18,43 +18,51 @@
 
 namespace rooksill::changes {
 
-// The newest revision among the keys that a placement is decided on: its partition's lease and,
-// where a job's tasks depend on each other's places, all its shards. A transaction guards what is
-// known when it is sent; a placement whose basis has changed by then must not go out, or a decision
-// made on older knowledge would be written under newer guards.
+// Returns the newest revision among the keys that a placement is decided on: the partition's lease
+// and, if the placement of a job's tasks depends on each other, all shards of the job. The
+// preconditions of a transaction are the revisions known when it is sent. A placement whose basis
+// revision has changed by then must not be sent: a decision made on older revisions would be
+// written under newer preconditions.
 model::Revision placement_basis_revision(const store::Replica& replica, const model::Job& job,
-                                int partition);
+                                         int partition);
 
-// Preconditions by key: the revision that the key must still have.
+// Preconditions by key: the revision that the key must have when the transaction is applied.
 using Preconditions = std::map<std::string, model::Revision>;
 
-// A change that was removed from those that wait: it is not to be written any more.
+// A change that was removed from the pending changes and will not be written.
 struct RemovedChange {
   uint32_t index = 0;  // of the task in the shard
   TaskChange change;
 };
 
-// Works on the shard's waiting changes in place: those that are out of date are removed from them,
-// and listed in `removed()` in the order of their removal.
+// Computes the update of one shard. Works on the shard's pending changes in place: stale changes
+// are removed from them and listed in removed(), in the order of their removal. Call apply() first,
+// then encode(), then the queries.
 class ShardUpdate {
  public:
   // All arguments must outlive the update. `shard` is an index into the job's shards.
-  ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned_partitions, const model::Job& job,
-              uint32_t shard, ShardChanges& changes);
+  ShardUpdate(const store::Replica& replica, const OwnedPartitions& owned_partitions,
+              const model::Job& job, uint32_t shard, ShardChanges& changes);
 
-  // Applies the waiting changes to the tasks as the replica has them. False if none is left.
+  // Applies the pending changes to the tasks' states in the replica. Returns false if no pending
+  // change is left.
   bool apply();
-  // Encodes the shard's new value. Placements are given up until it has at most that many bytes.
-  // False if it cannot, or if no change is left. A shard that is deleted has no value.
+  // Encodes the shard's new value, and removes placements until it has at most `max_bytes`. Returns
+  // false if that is not possible or no pending change is left. A deleted shard has no value.
   bool encode(size_t max_bytes);
 
-  // Whether all tasks of the job are done with this update.
+  // Returns whether this update completes the job: all of its tasks are done.
   bool finishes_job() const { return finishes_job_; }
-  // Whether the shard's key is deleted: what a job that is over leaves behind is of no use.
+  // Returns whether the shard's key is deleted, as the shards of a job that is over are not needed
+  // any more.
   bool deletes_shard() const { return deletes_shard_; }
+  // Returns the preconditions for writing the update.
   Preconditions preconditions() const;
+  // Moves the encoded value out of the update; null if the key is deleted.
   nlohmann::json extract_value() { return std::move(value_); }
+  // Returns the size of the encoded value; 0 if the key is deleted.
   size_t value_bytes() const { return value_bytes_; }
+  // Returns the changes that were removed from the pending changes.
   const std::vector<RemovedChange>& removed() const { return removed_; }
 
  private:
@@ -66,7 +74,8 @@
   void complete_gang();
   bool is_gang_fully_placed() const;
   bool remove_last_placement();
-  ShardChanges::ChangesByIndex::const_iterator remove_change(ShardChanges::ChangesByIndex::const_iterator position);
+  ShardChanges::ChangesByIndex::const_iterator remove_change(
+      ShardChanges::ChangesByIndex::const_iterator position);
   void update_end_flags();
 
   const store::Replica& replica_;
@@ -75,7 +84,7 @@
   const model::TaskShard& shard_;
   const model::ShardId id_;
   ShardChanges& changes_;
-  std::vector<model::TaskState> tasks_;  // with the changes applied
+  std::vector<model::TaskState> tasks_;  // with the pending changes applied
   std::vector<RemovedChange> removed_;
   nlohmann::json value_;  // null: the key is deleted
   size_t value_bytes_ = 0;
--- a/src/rooksill/changes/task_change.h
+++ b/src/rooksill/changes/task_change.h
@@ -1,4 +1,4 @@
-// A change of one task's state, as an owner of partitions decided it.
+// A change of one task's state that a partition owner has decided.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,30 @@
 
 namespace rooksill::changes {
 
-// A machine, with the lease of its partition under which something was decided about it.
+// A machine and the lease of its partition at the time of a decision about the machine.
 struct LeasedMachine {
   std::string name;
   int partition = 0;
-  model::Revision lease_revision = model::kNoRevision;  // revision of the lease's key
+  model::Revision lease_revision = model::kNoRevision;  // of the lease's key
 };
 
+// The placement of a task, or the end of one of its attempts.
 struct TaskChange {
   enum class Kind {
-    kPlaced,  // the task gets a place on the machine, with the attempt's number
-    kLost,    // the attempt ended on the machine and the task is not done: it needs another place
-    kDone,    // the attempt ended on the machine and the task is done
+    kPlaced,  // the task is placed on the machine, as the given attempt
+    kLost,    // the attempt ended on the machine, and the task has to be placed again
+    kDone,    // the attempt ended on the machine, and the task is done
   };
 
+  // Returns the placement of a task on the machine.
   static TaskChange placed(std::string machine, int partition, uint64_t attempt) {
     return {Kind::kPlaced, attempt, {std::move(machine), partition}};
   }
+  // Returns the loss of an attempt on the machine.
   static TaskChange lost(std::string machine, int partition, uint64_t attempt) {
     return {Kind::kLost, attempt, {std::move(machine), partition}};
   }
+  // Returns the completion of a task by an attempt on the machine.
   static TaskChange done(std::string machine, int partition, uint64_t attempt) {
     return {Kind::kDone, attempt, {std::move(machine), partition}};
   }
@@ -38,12 +42,14 @@
   uint64_t attempt = 0;
   LeasedMachine machine;
 
-  // The rest is filled in by the queue that takes the change.
+  // The queue sets the members below, and the lease revision of `machine`, when the change is
+  // added.
 
-  // Of a placement that also records the loss of the attempt before: the machine that reported
-  // that attempt gone.
+  // Only for a placement that also records the loss of the previous attempt: the machine that
+  // reported that attempt gone.
   std::optional<LeasedMachine> previous_machine;
-  // Of a placement: the newest revision among the keys that it was decided on.
+  // Only for a placement: the newest revision among the keys that it was decided on. See
+  // placement_basis_revision().
   model::Revision basis_revision = model::kNoRevision;
 };
 
--- a/src/rooksill/changes/task_change_listener.h
+++ b/src/rooksill/changes/task_change_listener.h
@@ -1,4 +1,5 @@
-// What the queue of task changes asks of those who keep the machines, and tells them.
+// The interface between the queue of task changes and the partition owner, which keeps the state of
+// the machines.
 #pragma once
 
 #include <string>
@@ -8,15 +9,17 @@
 
 namespace rooksill::changes {
 
+// Is notified of the changes in the queue, and answers the queue's queries about machines.
 class TaskChangeListener {
  public:
-  // A change was taken into the queue: from now on it counts on its machine as if it were written.
+  // Called when a change is added to the queue. From then on the machine's capacity has to account
+  // for it as if it had been written.
   virtual void on_change_added(const model::TaskRef& task, const TaskChange& change) = 0;
 
-  // A change left the queue: it has been written, or will not be.
+  // Called when a change leaves the queue, because it has been written or will not be.
   virtual void on_change_removed(const model::TaskRef& task, const TaskChange& change) = 0;
 
-  // Whether the cloud has announced that the machine will be taken.
+  // Returns whether the cloud has announced the termination of the machine.
   virtual bool is_terminating(const std::string& machine) const = 0;
 
  protected:
--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -9,18 +9,19 @@
 namespace rooksill::changes {
 
 namespace {
-constexpr int kMaxInFlightTransactions = 2;                 // transactions at the same time
-constexpr double kBackoffSeconds = 0.15;               // s, after the store refused a transaction
-constexpr double kGatherHeartbeats = 3;            // report intervals for which results are gathered
-constexpr size_t kMaxTransactionBytes = size_t{40} << 10;  // of a transaction, well below the store's limit
-constexpr double kTransactionWritesRatio = 0.6;       // of a second's writes that a transaction may take
-constexpr double kPlacementBacklogSeconds = 0.25;          // s of writes that decisions may wait for
-constexpr double kMinPlacementBacklogShards = 2;          // shards, however few writes there are
+constexpr int kMaxInFlightTransactions = 2;  // sent and without a response
+constexpr double kBackoffSeconds = 0.15;     // after the store refused a transaction
+constexpr double kGatherHeartbeats = 3;      // heartbeat intervals for which results are gathered
+constexpr size_t kMaxTransactionBytes = size_t{40} << 10;  // well below the store's limit
+constexpr double kTransactionWritesRatio = 0.6;            // of a second's writes, per transaction
+constexpr double kPlacementBacklogSeconds = 0.25;          // writes queued ahead of a new placement
+constexpr double kMinPlacementBacklogShards = 2;           // even if the store allows few writes
 }  // namespace
 
 TaskChangeQueue::TaskChangeQueue(runtime::Context& context, const store::Replica& replica,
                                  const store::Client& client, store::Committer& committer,
-                                 const OwnedPartitions& owned_partitions, TaskChangeListener& listener)
+                                 const OwnedPartitions& owned_partitions,
+                                 TaskChangeListener& listener)
     : context_(context),
       replica_(replica),
       client_(client),
@@ -89,11 +90,12 @@
   return WriteRank::kGatheredResult;
 }
 
-// Whether this process's machines still have tasks of the shard whose results may be gathered with
-// those that wait. Other owners may have some too, and know as little of ours: a job whose tasks
-// have all ended must not wait for writes to spare at each of them.
+// Returns whether machines of this process still run tasks of the shard, whose results can be
+// gathered with the pending ones. Tasks on machines of other owners do not count: these do not know
+// this process's pending results either, and a job whose tasks have all ended must not be delayed
+// at each owner until the store has capacity to spare.
 bool TaskChangeQueue::expects_more_results(const model::Job& job, uint32_t shard,
-                                            const ShardChanges& changes) const {
+                                           const ShardChanges& changes) const {
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     if (tasks[i].done || tasks[i].machine.empty() || changes.find(i) != nullptr) continue;
@@ -104,12 +106,12 @@
 }
 
 bool TaskChangeQueue::can_queue_placement(const model::Job& job, uint32_t shard) const {
-  if (job.spec.shape == model::Shape::kService) return true;  // few, and at once
-  // A shard that is in the order of writing may take more changes at no cost.
+  if (job.spec.shape == model::Shape::kService) return true;  // few, and must not be delayed
+  // More changes of a shard that is to be written anyway need no further write.
   auto entry = shards_.find({job.spec.id, shard});
   if (entry != shards_.end() && entry->second.position) return true;
-  const auto max_shards_ahead =
-      static_cast<size_t>(std::max(kMinPlacementBacklogShards, kPlacementBacklogSeconds * client_.writes_per_s()));
+  const auto max_shards_ahead = static_cast<size_t>(
+      std::max(kMinPlacementBacklogShards, kPlacementBacklogSeconds * client_.writes_per_s()));
   const WriteRank rank = decision_rank(job.spec);
   size_t shards_ahead = 0;
   for (const QueuePosition& position : write_order_) {
@@ -126,14 +128,14 @@
   }
 }
 
-// Sends one transaction. False if nothing was sent.
+// Sends one transaction. Returns false if nothing was sent.
 bool TaskChangeQueue::flush_once() {
   if (write_order_.empty() || context_.now.steady < backoff_until_) return false;
   ShardTransactionBuilder transaction(context_, replica_, owned_partitions_);
   for (auto next = write_order_.begin(); next != write_order_.end();) {
     const QueuePosition position = *next;
     if (!can_send(position, transaction)) break;
-    ++next;  // adding the shard takes it out of the order
+    ++next;  // before the shard is added, which removes it from the order
     const auto result = add_to_transaction(position.shard, transaction);
     if (result == ShardTransactionBuilder::AddResult::kFull) break;
     if (result == ShardTransactionBuilder::AddResult::kAdded)
@@ -142,7 +144,7 @@
   return !transaction.empty() && send(transaction);
 }
 
-// Whether the shard at this position may go with the transaction, by the store's limits.
+// Returns whether the limits allow adding the shard at this position to the transaction.
 bool TaskChangeQueue::can_send(const QueuePosition& position,
                                const ShardTransactionBuilder& transaction) const {
   const size_t writes = transaction.write_count() + ShardTransactionBuilder::kMaxShardWrites;
@@ -150,10 +152,10 @@
                         reserved_ratio(position.rank)))
     return false;
   const auto& platform = context_.settings.platform;
-  const size_t max_writes =
-      std::max(ShardTransactionBuilder::kMaxShardWrites,
-               std::min<size_t>(platform.state_txn_ops,
-                                static_cast<size_t>(client_.writes_per_s() * kTransactionWritesRatio)));
+  const size_t max_writes = std::max(
+      ShardTransactionBuilder::kMaxShardWrites,
+      std::min<size_t>(platform.state_txn_ops,
+                       static_cast<size_t>(client_.writes_per_s() * kTransactionWritesRatio)));
   if (writes > max_writes || transaction.estimated_bytes() > kMaxTransactionBytes) return false;
   return position.rank != WriteRank::kGatheredResult ||
          context_.now.steady - position.pending_since >= kGatherHeartbeats * platform.report_s;
@@ -166,7 +168,7 @@
   std::vector<RemovedChange> removed;
   const AddResult result = transaction.add(id, it->second.changes, removed);
   for (const auto& [index, change] : removed) notify_removed(id, index, change);
-  if (result == AddResult::kTooLarge) context_.count("too_large");  // waits in the order as before
+  if (result == AddResult::kTooLarge) context_.count("too_large");  // stays in the order of writing
   if (result == AddResult::kAdded || result == AddResult::kNoChanges) dequeue(it->second);
   if (result == AddResult::kNoChanges) shards_.erase(it);
   return result;
@@ -205,10 +207,10 @@
       return;
     case store::TransactionOutcome::kConflict:
       context_.count("conflicts", static_cast<double>(shards.size()));
-      context_.debug("changes", "transaction of {} shards failed on {}", shards.size(),
+      context_.debug("changes", "transaction of {} shards conflicts on key {}", shards.size(),
                      result.failed.empty() ? "" : result.failed.front());
       mark_reading_back(shards);
-      // Nothing of what was decided on old knowledge is kept; it is derived anew.
+      // Drops everything that was decided on stale revisions; it is decided again.
       committer_.refresh(result.failed, [this, shards] { remove_sent(shards); });
       return;
     case store::TransactionOutcome::kUnknown:
@@ -222,11 +224,11 @@
   for (const model::ShardId& id : shards) shards_.at(id).changes.mark_reading_back();
 }
 
-// After a transaction without an answer, when its keys have been read back. One whose shard has
-// changed can no longer be carried out. Otherwise it may be, seconds from now, and nothing that it
-// says may be taken back till then: a placement keeps its room and its part of the team's quota,
-// and a task that it writes lost is not started again in place. The same is sent again; whichever
-// comes first, the other one fails.
+// Called after a transaction without a response, when its keys have been read back. If a shard has
+// changed, the transaction can no longer be applied. Otherwise it may still be applied seconds
+// later, and until then none of its changes may be undone: a placement keeps its capacity and its
+// use of the team's quota, and a task that is written as lost is not restarted on its machine. The
+// same changes are sent again; whichever transaction is applied first makes the other one fail.
 void TaskChangeQueue::resolve_unknown(const std::vector<model::ShardId>& shards) {
   for (const model::ShardId& id : shards) {
     const model::Job* job = replica_.job(id.job);
@@ -254,7 +256,7 @@
   }
 }
 
-// What was decided since then stays; what was sent is tried again.
+// Makes the sent changes pending again. Changes that were added since stay pending.
 void TaskChangeQueue::requeue_sent(const std::vector<model::ShardId>& shards) {
   for (const model::ShardId& id : shards) {
     Entry& entry = shards_.at(id);
@@ -266,7 +268,7 @@
 void TaskChangeQueue::notify_removed(const model::ShardId& id, uint32_t index,
                                      const TaskChange& change) {
   const model::Job* job = replica_.job(id.job);
-  if (job == nullptr) return;  // does not happen: the replica keeps every job
+  if (job == nullptr) return;  // cannot happen: the replica keeps every job
   listener_.on_change_removed({id.job, id.index * job->tasks_per_shard + index}, change);
 }
 
--- a/src/rooksill/changes/task_change_queue.h
+++ b/src/rooksill/changes/task_change_queue.h
@@ -1,4 +1,4 @@
-// Changes of tasks' states on their way to the store.
+// Queues changes of tasks' states and writes them to the store.
 #pragma once
 
 #include <compare>
@@ -24,11 +24,11 @@
 
 namespace rooksill::changes {
 
-// Takes changes as they are decided and writes them in the order of their rank, as fast as the
-// store's limits allow, several shards in one transaction. Each transaction is guarded on the
-// shards' revisions and on the leases under which its changes were decided. A change that turns out
-// to be out of date is dropped; nothing is derived from it: whoever decided it decides anew on what
-// the replica says then.
+// Queues changes as they are decided and writes them in the order of their rank, as fast as the
+// store's limits allow, with several shards in one transaction. The preconditions of a transaction
+// are the revisions of the shards and of the leases under which its changes were decided. A change
+// that turns out to be stale is dropped without further effect: the component that decided it
+// decides again on the replica's state at that time.
 class TaskChangeQueue {
  public:
   // All arguments must outlive the queue.
@@ -36,47 +36,48 @@
                   const store::Client& client, store::Committer& committer,
                   const OwnedPartitions& owned_partitions, TaskChangeListener& listener);
 
-  // Queues a change that was decided on the replica as it is now.
+  // Queues a change that was decided on the replica's current state.
   void add(const model::TaskRef& task, TaskChange change);
-  // Writes what the limits allow.
+  // Sends as many transactions as the limits allow.
   void flush();
 
-  // The change of a task that the store does not have yet; nullptr if there is none.
+  // Returns the change of a task that is not in the store yet; nullptr if there is none.
   const TaskChange* find(const model::TaskRef& task) const;
+  // Returns whether the task has a change that is not in the store yet.
   bool is_pending(const model::TaskRef& task) const { return find(task) != nullptr; }
-  // All such changes of a shard; nullptr if there are none.
+  // Returns all changes of a shard that are not in the store yet; nullptr if there are none.
   const ShardChanges* find_shard(const model::ShardId& id) const;
-  // Whether a placement in the shard would be written soon. One that is decided and not yet written
-  // keeps its room from everybody: where writes are few, no more is decided than can be written
-  // soon, so that what has a higher rank finds the room, and each write takes all that has come
-  // free by then.
+  // Returns whether a placement in the shard would be written soon if it were queued now. A queued
+  // placement reserves its capacity. When few writes are allowed, only as many placements are
+  // decided as can be written soon, so that capacity is left for changes of a higher rank and each
+  // write uses all the capacity that has become free by then.
   bool can_queue_placement(const model::Job& job, uint32_t shard) const;
-  // Shards whose changes are to be sent.
+  // Returns the number of shards that have changes to be sent.
   size_t pending_shard_count() const { return write_order_.size(); }
 
  private:
-  // A shard's place in the order of writing.
+  // A shard's position in the order of writing.
   struct QueuePosition {
     WriteRank rank = WriteRank::kGatheredResult;
-    double pending_since = 0;  // steady clock
+    double pending_since = 0;  // seconds of the steady clock
     model::ShardId shard;
     auto operator<=>(const QueuePosition&) const = default;
   };
   struct Entry {
     ShardChanges changes;
-    std::optional<QueuePosition> position;  // while it is in the order of writing
+    std::optional<QueuePosition> position;  // set while the shard is in the order of writing
   };
 
   void enqueue(const model::ShardId& id, Entry& entry);
   void dequeue(Entry& entry);
   WriteRank rank_of(const model::Job& job, uint32_t shard, const ShardChanges& changes) const;
   bool expects_more_results(const model::Job& job, uint32_t shard,
-                             const ShardChanges& changes) const;
+                            const ShardChanges& changes) const;
 
   bool flush_once();
   bool can_send(const QueuePosition& position, const ShardTransactionBuilder& transaction) const;
   ShardTransactionBuilder::AddResult add_to_transaction(const model::ShardId& id,
-                                                    ShardTransactionBuilder& transaction);
+                                                        ShardTransactionBuilder& transaction);
   bool send(ShardTransactionBuilder& transaction);
 
   void on_outcome(const std::vector<model::ShardId>& shards, const std::vector<std::string>& keys,
@@ -95,8 +96,8 @@
   TaskChangeListener& listener_;
   std::map<model::ShardId, Entry> shards_;
   std::set<QueuePosition> write_order_;
-  int in_flight_transactions_ = 0;         // transactions without an answer
-  double backoff_until_ = 0;  // steady clock
+  int in_flight_transactions_ = 0;  // without a response
+  double backoff_until_ = 0;        // seconds of the steady clock
 };
 
 }  // namespace rooksill::changes
--- a/src/rooksill/changes/write_rank.cc
+++ b/src/rooksill/changes/write_rank.cc
@@ -3,13 +3,13 @@
 namespace rooksill::changes {
 
 namespace {
-constexpr double kDecisionReserveRatio = 0.1;  // that decisions leave to urgent results
-constexpr double kGatheredReserveRatio = 0.4;  // that gathered results leave to both
+constexpr double kDecisionReserveRatio = 0.1;  // left by decisions to urgent results
+constexpr double kGatheredReserveRatio = 0.4;  // left by gathered results to both
 }  // namespace
 
 WriteRank decision_rank(const model::JobSpec& spec) {
-  // A gang's placement holds room on many machines until it is written, and all of its tasks wait
-  // for it: it goes with the first, as a service's does.
+  // Until a gang's placement is written, it reserves capacity on many machines and all tasks of the
+  // gang wait for it. So it has the rank of a service's placement, whatever its priority.
   if (spec.shape == model::Shape::kGang) return WriteRank::kProdDecision;
   switch (spec.priority) {
     case model::Priority::kProd:
--- a/src/rooksill/changes/write_rank.h
+++ b/src/rooksill/changes/write_rank.h
@@ -1,13 +1,14 @@
-// The order in which shards' changes are written when the store's limits do not allow all at once.
+// The order in which changes of shards are written when the store's limits do not allow writing all
+// of them at once.
 #pragma once
 
 #include "rooksill/model/job.h"
 
 namespace rooksill::changes {
 
-// Results that complete a job, or would be lost with their machine, come first; then decisions
-// (placements and losses) by the job's priority; results that complete nothing are gathered until
-// there are writes to spare.
+// Written first are results that complete a job or would be lost with their machine; then decisions
+// (placements and losses) by the job's priority. Results that complete nothing are gathered into
+// batches and written when the store has capacity to spare.
 enum class WriteRank {
   kUrgentResult,
   kProdDecision,
@@ -17,13 +18,14 @@
   kGatheredResult,
 };
 
-// The rank of placements and losses of a job's tasks.
+// Returns the rank of placements and losses of the job's tasks.
 WriteRank decision_rank(const model::JobSpec& spec);
 
-// The part of the store's limits that changes of this rank leave to those that come before them.
+// Returns the ratio of the store's limits that changes of this rank leave to those that rank before
+// them.
 double reserved_ratio(WriteRank rank);
 
-// The name under which shards written with this rank are counted in the log.
+// Returns the name of the counter for shards written with this rank.
 const char* counter_name(WriteRank rank);
 
 }  // namespace rooksill::changes
--- a/src/rooksill/placement/preemption.h
+++ b/src/rooksill/placement/preemption.h
@@ -23,8 +23,8 @@
   void refill(double writes_per_s, double now_s);
   // Returns whether the budget covers an eviction of this cost.
   bool can_afford(double cost) const { return remaining_ >= cost; }
-  // Subtracts the cost. The budget may go below zero, because a set of evictions that makes room
-  // for one task is not carried out in part.
+  // Subtracts the cost. The budget may go below zero: an eviction is not carried out in part, and
+  // the budget is checked once per machine, for a single eviction.
   void spend(double cost) { remaining_ -= cost; }
 
  private:
