--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -14,7 +14,7 @@
 constexpr double kGatherHeartbeats = 3;      // heartbeat intervals for which results are gathered
 constexpr size_t kMaxTransactionBytes = size_t{40} << 10;  // well below the store's limit
 constexpr double kTransactionWritesRatio = 0.6;            // of a second's writes, per transaction
-constexpr double kPlacementBacklogSeconds = 0.25;          // writes queued ahead of a new placement
+constexpr double kPlacementBacklogSeconds = 0.25;          // of writes, ahead of a new placement
 constexpr double kMinPlacementBacklogShards = 2;           // even if the store allows few writes
 }  // namespace
 
--- a/src/rooksill/placement/ranking.cc
+++ b/src/rooksill/placement/ranking.cc
@@ -12,8 +12,7 @@
 constexpr double kOrdinaryForSpotWeight = 300;
 constexpr double kFetchWeight = 100;  // if the image has to be fetched, and per second of the fetch
 constexpr double kPriceWeight = 50;   // per multiple of the price of the cheapest CPU
-constexpr double kFreeCpusWeight =
-    10;  // if all CPUs are free; proportional to the ratio of free CPUs
+constexpr double kFreeCpusWeight = 10;  // times the ratio of free CPUs
 // Applied to the fetch time of an image that the machine is fetching already, so that tasks with
 // the same image are placed together.
 constexpr double kSharedFetchRatio = 0.5;
