--- a/src/rooksill/placement/zone_limits.h
+++ b/src/rooksill/placement/zone_limits.h
@@ -1,4 +1,4 @@
-// How many of a job's tasks each zone may have.
+// Limits on the number of a job's tasks in each zone.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,28 @@
 
 namespace rooksill::placement {
 
+// Tracks how many more tasks of a job each zone may get: the tasks of a `spread` job are limited by
+// zone, and those of a `one_zone` job have to be in the same zone.
 class ZoneLimits {
  public:
+  // Applies the limit of the job, if its tasks are to be spread over zones.
   explicit ZoneLimits(const model::JobSpec& spec)
-      : most_in_zone_(spec.spread ? spec.most_in_zone() : std::numeric_limits<uint32_t>::max()) {}
+      : max_tasks_per_zone_(spec.spread ? spec.most_in_zone()
+                                        : std::numeric_limits<uint32_t>::max()) {}
 
-  // All tasks have to go to this zone.
-  void restrict_to(const std::string& zone) { only_zone_ = zone; }
-  bool restricted() const { return !only_zone_.empty(); }
-  // So many more of the tasks are there, or on their way there.
-  void add(const std::string& zone, uint32_t tasks = 1) { in_zone_[zone] += tasks; }
-  // How many more tasks the zone may have.
-  uint32_t left(const std::string& zone) const;
+  // Requires all tasks to be in this zone.
+  void restrict_to(const std::string& zone) { required_zone_ = zone; }
+  // Returns whether all tasks have to be in one zone that is already determined.
+  bool is_restricted() const { return !required_zone_.empty(); }
+  // Counts tasks of the job that are placed, or about to be placed, in the zone.
+  void add(const std::string& zone, uint32_t tasks = 1) { tasks_by_zone_[zone] += tasks; }
+  // Returns how many more tasks may be placed in the zone.
+  uint32_t remaining(const std::string& zone) const;
 
  private:
-  uint32_t most_in_zone_;
-  std::string only_zone_;  // empty: any
-  std::map<std::string, uint32_t> in_zone_;
+  uint32_t max_tasks_per_zone_;
+  std::string required_zone_;  // empty: any zone
+  std::map<std::string, uint32_t> tasks_by_zone_;
 };
 
 }  // namespace rooksill::placement
