--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -140,7 +140,7 @@
   const auto machine = owner_.take_unassigned_machine();
   if (!machine) return;
   const std::string& leader = replica_.leader.label;
-  if (leader_.leading())
+  if (leader_.is_leading())
     fleet_.on_unassigned_machine(*machine);
   else if (!leader.empty())
     peers_.send(leader, wire::PeerKind::kUnassignedMachine, wire::pack(*machine));
@@ -156,7 +156,7 @@
   heartbeat_sender_.write_liveness_record();
   replica_sync_.tick();
   committer_.tick();
-  upgrade_.tick(leader_.leading());
+  upgrade_.tick(leader_.is_leading());
   if (membership::Upgrade::complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
   owner_.tick();
   if (timeout_check_timer_.fire(now, kTick * kTimeoutCheckTicks)) owner_.check_timeouts();
@@ -172,8 +172,8 @@
 void Controller::run_leader_steps() {
   const double store_status_interval_s =
       context_.settings.platform.report_s / kStoreStatusesPerReport;
-  machine_statuses_.remove_outdated();
-  if (leader_.leading() && store_status_timer_.fire(context_.now.steady, store_status_interval_s))
+  machine_statuses_.remove_stale();
+  if (leader_.is_leading() && store_status_timer_.fire(context_.now.steady, store_status_interval_s))
     machine_statuses_.derive_from_store();
   fleet_.observe();
   leader_.tick(machine_statuses_.statuses());
@@ -184,7 +184,7 @@
 // Without a leader to route them, new jobs go to the partitions of the controller that took them.
 void Controller::route_accepted_jobs() {
   const std::vector<std::string> accepted = user_requests_.take_accepted();
-  if (!leader_.absent()) return;
+  if (!leader_.is_leader_unreachable()) return;
   owner_.route_without_leader();
   for (const std::string& id : accepted) {
     const model::Job* job = replica_.job(id);
@@ -197,7 +197,7 @@
 void Controller::process_replica_changes() {
   if (!replica_.changes.touched_jobs.empty()) {
     owner_.request_placement();
-    leader_.route_now();
+    leader_.route_changed_jobs();
   }
   fleet_.measure(replica_.changes.events);
   replica_.changes.events.clear();
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -46,7 +46,7 @@
 
   // Whether load balancers should send users here.
   bool ready() const;
-  bool leading() const { return leader_.leading(); }
+  bool leading() const { return leader_.is_leading(); }
   const store::Replica& replica() const { return replica_; }
 
  private:
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -52,26 +52,26 @@
   const PoolState state = survey(machines, statuses);
   const PoolCeiling ceiling = ceiling_of(pool, type);
   policy::SizingInput input;
-  input.x = state.rented;
-  input.y = state.busy;
-  input.lambda = demand.lambda();
-  input.mu = demand.mu();
-  input.ceiling = std::max(ceiling.all, input.x);
-  input.periods = operators.periods;
-  input.c1 = operators.planned_cost;
-  input.c2 = operators.unplanned_cost * unplanned_cost_factor;
-  input.h = operators.holding_cost;
-  if (input.x == 0 && input.lambda < kNoArrivals) return;
+  input.rented = state.rented;
+  input.busy = state.busy;
+  input.arrival_rate = demand.arrival_rate();
+  input.service_rate = demand.service_rate();
+  input.max_machines = std::max(ceiling.all, input.rented);
+  input.horizon_periods = operators.periods;
+  input.planned_cost = operators.planned_cost;
+  input.unplanned_cost = operators.unplanned_cost * unplanned_cost_factor;
+  input.holding_cost = operators.holding_cost;
+  if (input.rented == 0 && input.arrival_rate < kNoArrivals) return;
   const policy::SizingResult result = policy::size_fleet(input);
   context_.info("policy",
                 "{} {}: x {} y {:.2f} lambda {:.3f} mu {:.3f} E[y] {:.2f} E[v] {:.3f} u {} cost "
                 "{:.2f} R {}",
-                kind_name(pool), pool.type, input.x, input.y, input.lambda, input.mu,
-                result.expected_y, result.expected_v, result.u, result.cost, input.ceiling);
-  if (result.u > 0)
-    rent_planned(pool, type, result.u, ceiling, state.machines_by_zone);
-  else if (result.u < 0)
-    drain_machines(pool, type, -result.u, state.candidates);
+                kind_name(pool), pool.type, input.rented, input.busy, input.arrival_rate, input.service_rate,
+                result.expected_busy, result.expected_unplanned, result.machines_to_rent, result.cost, input.max_machines);
+  if (result.machines_to_rent > 0)
+    rent_planned(pool, type, result.machines_to_rent, ceiling, state.machines_by_zone);
+  else if (result.machines_to_rent < 0)
+    drain_machines(pool, type, -result.machines_to_rent, state.candidates);
 }
 
 PoolSizing::PoolState PoolSizing::survey(const std::vector<const model::Machine*>& machines,
--- a/src/rooksill/leader/capacity_view.cc
+++ b/src/rooksill/leader/capacity_view.cc
@@ -22,13 +22,13 @@
   for (size_t i = 0; i < pool.cpus_by_priority.size(); ++i)
     pool.cpus_by_priority[i] += status.cpus_by_priority[i];
   if (status.cpus_free <= 0) return;
-  pool.free += {status.cpus_free, status.gpus_free, status.memory_free};
+  pool.free_capacity += {status.cpus_free, status.gpus_free, status.memory_free};
   for (const auto& image : status.images) pool.free_cpus_by_image[image] += status.cpus_free;
 }
 
 }  // namespace
 
-double MachinePool::cpus_below(model::Priority priority) const {
+double MachinePool::preemptible_cpus(model::Priority priority) const {
   double sum = 0;
   for (size_t i = 0; i < static_cast<size_t>(priority); ++i) sum += cpus_by_priority[i];
   return sum;
@@ -74,8 +74,8 @@
   for (MachinePool& pool : pools) {
     if (tasks <= 0) break;
     if (!filter.allows(pool) || cpus <= 0) continue;
-    const double fitting = std::min(tasks, std::max(0.0, std::floor(pool.free.cpus / cpus)));
-    pool.free -= spec.request * fitting;
+    const double fitting = std::min(tasks, std::max(0.0, std::floor(pool.free_capacity.cpus / cpus)));
+    pool.free_capacity -= spec.request * fitting;
     tasks -= fitting;
   }
   // What found no free room preempts work of a lower priority.
--- a/src/rooksill/leader/capacity_view.h
+++ b/src/rooksill/leader/capacity_view.h
@@ -20,14 +20,14 @@
   const model::MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
-  model::Resources free;
+  model::Resources free_capacity;
   // CPUs of tasks there that are not being stopped.
   std::array<double, model::kPriorities> cpus_by_priority{};
   // Free CPUs on machines that have an image.
   std::unordered_map<std::string, double> free_cpus_by_image;
 
   // CPUs that preempting all tasks of a lower priority would free.
-  double cpus_below(model::Priority priority) const;
+  double preemptible_cpus(model::Priority priority) const;
 };
 
 // Which machines a job's tasks may run on.
--- a/src/rooksill/leader/election.h
+++ b/src/rooksill/leader/election.h
@@ -35,15 +35,15 @@
   void tick();
 
   // Whether this process leads now, as far as its lease and its replica say.
-  bool leading() const;
+  bool is_leading() const;
   // No leader has been heard for a while: owners of partitions go on by themselves.
-  bool leader_absent() const;
+  bool is_leader_unreachable() const;
   // The term in which this process leads; 0 while it does not.
-  uint64_t term() const { return leading() ? term_ : 0; }
+  uint64_t term() const { return is_leading() ? term_ : 0; }
   // When this process's latest term began.
-  double term_started() const { return term_started_; }
+  double term_started_at() const { return term_started_at_; }
   // When this process's first tick was; 0 before.
-  double first_tick() const { return first_tick_; }
+  double first_tick_at() const { return first_tick_at_; }
 
  private:
   enum class State { kFollower, kCampaigning, kLeading };
@@ -55,14 +55,14 @@
 
   double lease_ttl() const;
   bool leader_key_is_ours() const;
-  void keep_leading();
+  void maintain_leadership();
   void seek_leadership();
   void campaign();
-  void on_lease_granted(const runtime::CallDone& answer, const LeaseRequest& request);
+  void on_lease_granted(const runtime::CallDone& response, const LeaseRequest& request);
   void write_leader_key(uint64_t lease_id, const LeaseRequest& request);
   void start_term(uint64_t term, uint64_t lease_id, const LeaseRequest& request);
   void renew();
-  void on_renewed(const runtime::CallDone& answer, const LeaseRequest& request, uint64_t lease_id);
+  void on_renewed(const runtime::CallDone& response, const LeaseRequest& request, uint64_t lease_id);
   void resign(const std::string& reason);
   void release_lease(uint64_t lease_id);
 
@@ -74,16 +74,16 @@
   const TermHandlers handlers_;
 
   State state_ = State::kFollower;
-  bool renewal_pending_ = false;
-  bool heard_peer_ = false;  // in this term
+  bool is_renewal_pending_ = false;
+  bool has_received_from_peer_ = false;  // in this term
   uint64_t term_ = 0;
   uint64_t lease_id_ = 0;
-  double valid_until_ = 0;  // this process counts on its lease until then
-  double next_renewal_ = 0;
-  double next_campaign_ = 0;
+  double lease_valid_until_ = 0;  // this process counts on its lease until then
+  double next_renewal_at_ = 0;
+  double next_campaign_at_ = 0;
   double vacant_since_ = 0;  // when the leader's key was first seen to be missing; 0: it is there
-  double term_started_ = 0;
-  double first_tick_ = 0;
+  double term_started_at_ = 0;
+  double first_tick_at_ = 0;
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/job_finisher.cc
+++ b/src/rooksill/leader/job_finisher.cc
@@ -10,22 +10,22 @@
 void JobFinisher::finish_jobs() {
   for (const auto& id : replica_.finished_jobs) {
     if (in_flight_.count(id) != 0) continue;
-    if (record_done(id)) in_flight_.insert(id);
+    if (record_completion(id)) in_flight_.insert(id);
   }
 }
 
-bool JobFinisher::record_done(const std::string& id) {
+bool JobFinisher::record_completion(const std::string& id) {
   const model::Job& job = *replica_.job(id);
-  model::Job ended;
-  ended.spec.tasks = job.spec.tasks;
-  ended.end = model::JobEnd::kDone;
+  model::Job completed;
+  completed.spec.tasks = job.spec.tasks;
+  completed.end = model::JobEnd::kDone;
   const std::string key = wire::job_key(id);
-  return committer_.commit({{key, job.revision}}, {{key, wire::encode_job(ended), 0}},
+  return committer_.commit({{key, job.revision}}, {{key, wire::encode_job(completed), 0}},
                            [this, id, key](const store::TransactionResult& result) {
-                             const bool certain =
+                             const bool is_outcome_known =
                                  result.outcome == store::TransactionOutcome::kApplied ||
                                  result.outcome == store::TransactionOutcome::kRefused;
-                             if (certain) {
+                             if (is_outcome_known) {
                                in_flight_.erase(id);
                                return;
                              }
--- a/src/rooksill/leader/job_finisher.h
+++ b/src/rooksill/leader/job_finisher.h
@@ -23,7 +23,7 @@
   void finish_jobs();
 
  private:
-  bool record_done(const std::string& id);
+  bool record_completion(const std::string& id);
 
   const store::Replica& replica_;
   store::Committer& committer_;
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -13,32 +13,32 @@
                  .on_end = [this] { fleet_.stop(); }}),
       assigner_(context, replica, committer, peers, owner, election_),
       job_finisher_(replica, committer),
-      waiting_work_(context, replica, owner),
+      pending_work_(context, replica, owner),
       router_(context, replica, peers, owner, fleet) {}
 
 void Leader::start_term(uint64_t term) {
   assigner_.start_term();
   job_finisher_.start_term();
-  waiting_work_.start_term();
+  pending_work_.start_term();
   router_.start_term(term);
   fleet_.start_term(term);
 }
 
 void Leader::tick(const wire::MachineStatusMap& statuses) {
   election_.tick();
-  if (!leading()) return;
+  if (!is_leading()) return;
   assigner_.assign();
   job_finisher_.finish_jobs();
   router_.refresh(statuses);
   // What waits changes slowly beside the tick: it is summed up only when the fleet asks for it.
-  std::vector<fleet::WaitingTasks> waiting;
-  if (fleet_.wants_waiting()) waiting = waiting_work_.collect();
-  fleet_.tick(statuses, waiting, assigner_.suspect_partitions(), assigner_.unreachable_zones());
-  router_.route_next_jobs();
+  std::vector<fleet::WaitingTasks> pending;
+  if (fleet_.wants_waiting()) pending = pending_work_.collect();
+  fleet_.tick(statuses, pending, assigner_.suspect_partitions(), assigner_.unreachable_zones());
+  router_.retry_pending_jobs();
 }
 
-void Leader::route_now() {
-  if (leading()) router_.route_touched_jobs();
+void Leader::route_changed_jobs() {
+  if (is_leading()) router_.route_changed_jobs();
 }
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/leader.h
+++ b/src/rooksill/leader/leader.h
@@ -8,7 +8,7 @@
 #include "rooksill/leader/job_finisher.h"
 #include "rooksill/leader/partition_assigner.h"
 #include "rooksill/leader/router.h"
-#include "rooksill/leader/waiting_work.h"
+#include "rooksill/leader/pending_work.h"
 #include "rooksill/membership/peers.h"
 #include "rooksill/partition/partition_owner.h"
 #include "rooksill/runtime/context.h"
@@ -33,11 +33,11 @@
   // `statuses`: what owners report of their machines.
   void tick(const wire::MachineStatusMap& statuses);
   // Routes at once the jobs that the last batch of changes touched.
-  void route_now();
+  void route_changed_jobs();
 
-  bool leading() const { return election_.leading(); }
+  bool is_leading() const { return election_.is_leading(); }
   // No leader has been heard for a while: owners of partitions go on by themselves.
-  bool absent() const { return election_.leader_absent(); }
+  bool is_leader_unreachable() const { return election_.is_leader_unreachable(); }
   // The term in which this process leads; 0 while it does not.
   uint64_t term() const { return election_.term(); }
 
@@ -48,7 +48,7 @@
   Election election_;
   PartitionAssigner assigner_;
   JobFinisher job_finisher_;
-  WaitingWork waiting_work_;
+  PendingWork pending_work_;
   Router router_;
 };
 
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -23,28 +23,28 @@
   }
 }
 
-void MachineStatusTable::remove_outdated() {
+void MachineStatusTable::remove_stale() {
   std::erase_if(statuses_, [this](const auto& entry) {
     return !owns_machine(entry.second.publisher, entry.first);
   });
 }
 
 void MachineStatusTable::derive_from_store() {
-  static const std::vector<std::string> kNoneSilent;
+  static const std::vector<std::string> kNoMachines;
   for (size_t partition = 0; partition < replica_.leases.size(); ++partition) {
     const std::string& owner = replica_.leases[partition].owner;
     const bool is_self = owner == context_.settings.platform.label;
     if (is_self || peers_.heard(owner) || !peers_.alive(owner)) continue;
     const auto record = replica_.liveness_records.find(owner);
-    const std::vector<std::string>& silent =
-        record == replica_.liveness_records.end() ? kNoneSilent : record->second.silent;
+    const std::vector<std::string>& unreachable =
+        record == replica_.liveness_records.end() ? kNoMachines : record->second.silent;
     for (const store::MachinePage& page : replica_.pages[partition])
-      for (const std::string& name : page.names) derive_status(owner, silent, name);
+      for (const std::string& name : page.names) derive_status(owner, unreachable, name);
   }
 }
 
 void MachineStatusTable::derive_status(const std::string& owner,
-                                       const std::vector<std::string>& silent,
+                                       const std::vector<std::string>& unreachable,
                                        const std::string& name) {
   const model::Machine& machine = *replica_.machine(name);
   const auto type = replica_.types.find(machine.type);
@@ -60,7 +60,7 @@
   status.up = status.up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
   // The owner cannot be asked to drain it and could not say that it is empty.
   status.draining = false;
-  status.silent = std::find(silent.begin(), silent.end(), name) != silent.end();
+  status.silent = std::find(unreachable.begin(), unreachable.end(), name) != unreachable.end();
   status.cpus_free = status.up && !status.silent ? free.cpus : 0;
   status.gpus_free = free.gpus;
   status.memory_free = free.memory_gb;
--- a/src/rooksill/leader/machine_status_table.h
+++ b/src/rooksill/leader/machine_status_table.h
@@ -25,7 +25,7 @@
   void record(const std::string& publisher, std::vector<wire::MachineStatus> machines);
 
   // Drops entries of machines that are gone and those published by a former owner.
-  void remove_outdated();
+  void remove_stale();
 
   // Fills in what the store says of machines whose owner is alive and cannot be heard. Only for the
   // leader.
@@ -36,7 +36,7 @@
  private:
   // Whether the machine is listed in a partition that this controller owns.
   bool owns_machine(const std::string& label, const std::string& machine) const;
-  void derive_status(const std::string& owner, const std::vector<std::string>& silent,
+  void derive_status(const std::string& owner, const std::vector<std::string>& unreachable,
                      const std::string& machine);
 
   const runtime::Context& context_;
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -14,13 +14,13 @@
 
 namespace {
 // In report periods.
-constexpr double kGatherReports =
+constexpr double kStartupWaitReports =
     0.2;  // from this process's start until it leads without the others
-constexpr double kSettleReports =
+constexpr double kReturnSettleReports =
     2;  // for which a returned controller is heard before it gets more
-constexpr double kSecondOpinionReports = 20;  // for which the owner after a suspect one is believed
+constexpr double kSecondOpinionTrustReports = 20;  // for which the owner after a suspect one is believed
 // A partition moves only if that makes the numbers more even.
-constexpr int kMinDifference = 2;
+constexpr int kMinRebalanceDifference = 2;
 }  // namespace
 
 PartitionAssigner::PartitionAssigner(runtime::Context& context, const store::Replica& replica,
@@ -34,19 +34,19 @@
       owner_(owner),
       election_(election) {}
 
-bool PartitionAssigner::Candidates::include(const std::string& label) const {
+bool PartitionAssigner::Candidates::contains(const std::string& label) const {
   return std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
 const std::string& PartitionAssigner::Candidates::least_loaded() const {
   return *std::min_element(labels.begin(), labels.end(), [this](const auto& a, const auto& b) {
-    return owned.at(a) < owned.at(b);
+    return partition_counts.at(a) < partition_counts.at(b);
   });
 }
 
 void PartitionAssigner::start_term() {
   in_flight_.clear();
-  taken_from_suspect_.clear();
+  reassigned_from_suspect_at_.clear();
 }
 
 void PartitionAssigner::assign() {
@@ -63,29 +63,29 @@
   const auto labels = context_.settings.platform.labels();
   Candidates candidates;
   for (const auto& label : labels)
-    if (may_own(label)) candidates.labels.push_back(label);
+    if (check_eligibility(label)) candidates.labels.push_back(label);
   // Where every controller sees silence it is the machines that are silent.
   if (candidates.labels.empty())
     for (const auto& label : labels)
       if (is_self(label) || peers_.alive(label)) candidates.labels.push_back(label);
-  for (const auto& label : candidates.labels) candidates.owned[label] = 0;
-  for (const auto& partition_lease : replica_.leases) ++candidates.owned[partition_lease.owner];
+  for (const auto& label : candidates.labels) candidates.partition_counts[label] = 0;
+  for (const auto& partition_lease : replica_.leases) ++candidates.partition_counts[partition_lease.owner];
   return candidates;
 }
 
-bool PartitionAssigner::may_own(const std::string& label) {
-  const std::string reason = reason_against(label);
-  std::string& known = unfit_[label];
-  if (known != reason) {
+bool PartitionAssigner::check_eligibility(const std::string& label) {
+  const std::string reason = ineligibility_reason(label);
+  std::string& last_reason = ineligibility_reasons_[label];
+  if (last_reason != reason) {
     context_.info("leader", "{} is {}", label,
                   reason.empty() ? "fit to own partitions" : "not fit: " + reason);
-    known = reason;
+    last_reason = reason;
   }
   return reason.empty();
 }
 
 // Empty if the controller may own partitions.
-std::string PartitionAssigner::reason_against(const std::string& label) const {
+std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
   if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
   if (!peers_.alive(label)) return "it is not heard";
   const membership::Peer& peer = *peers_.find(label);
@@ -101,9 +101,9 @@
 // After a crash of all controllers the others are heard a moment later than the first of them
 // leads. Waiting for them costs less than giving one of them all the workers first and moving most
 // of them again.
-bool PartitionAssigner::waits_for_peers() const {
-  const double since_start = context_.now.steady - election_.first_tick();
-  if (since_start >= kGatherReports * context_.settings.platform.report_s) return false;
+bool PartitionAssigner::should_wait_for_peers() const {
+  const double since_start_s = context_.now.steady - election_.first_tick_at();
+  if (since_start_s >= kStartupWaitReports * context_.settings.platform.report_s) return false;
   const auto labels = context_.settings.platform.labels();
   return std::any_of(labels.begin(), labels.end(), [&](const auto& label) {
     const membership::Peer* peer = peers_.find(label);
@@ -115,39 +115,39 @@
 // ----------------------------------------------------------------------------------------
 
 void PartitionAssigner::replace_owners(Candidates& candidates) {
-  if (waits_for_peers()) return;
+  if (should_wait_for_peers()) return;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const model::PartitionLease& current = replica_.leases[i];
-    if (candidates.include(current.owner) && current.incarnation == incarnation_of(current.owner))
+    if (candidates.contains(current.owner) && current.incarnation == incarnation_of(current.owner))
       continue;
     const int partition = static_cast<int>(i);
-    const std::string to = candidates.least_loaded();
-    ++candidates.owned[to];
-    if (suspects_itself(current.owner)) taken_from_suspect_[partition] = context_.now.steady;
-    lease(partition, to, current.owner.empty() ? "first lease" : "its owner is not fit");
+    const std::string new_owner = candidates.least_loaded();
+    ++candidates.partition_counts[new_owner];
+    if (suspects_itself(current.owner)) reassigned_from_suspect_at_[partition] = context_.now.steady;
+    write_lease(partition, new_owner, current.owner.empty() ? "first lease" : "its owner is not fit");
   }
 }
 
 // A controller that has been back for a while gets a partition of the one with the most: its home
 // partition if that is among them. Not only its home: after several crashes each may own another's.
 void PartitionAssigner::rebalance(const Candidates& candidates) {
-  const double settle = kSettleReports * context_.settings.platform.report_s;
-  const std::map<std::string, int>& owned = candidates.owned;
-  std::string most = candidates.labels.front(), to;
+  const double settle_s = kReturnSettleReports * context_.settings.platform.report_s;
+  const std::map<std::string, int>& counts = candidates.partition_counts;
+  std::string most_loaded = candidates.labels.front(), receiver;
   for (const auto& label : candidates.labels) {
     const membership::Peer* peer = peers_.find(label);
-    const double back_since = peer != nullptr ? peer->first_heard : election_.term_started();
-    if (owned.at(label) > owned.at(most)) most = label;
-    if (context_.now.steady - back_since > settle && (to.empty() || owned.at(label) < owned.at(to)))
-      to = label;
+    const double reachable_since = peer != nullptr ? peer->first_heard : election_.term_started_at();
+    if (counts.at(label) > counts.at(most_loaded)) most_loaded = label;
+    if (context_.now.steady - reachable_since > settle_s && (receiver.empty() || counts.at(label) < counts.at(receiver)))
+      receiver = label;
   }
-  if (to.empty() || owned.at(most) < owned.at(to) + kMinDifference || !in_flight_.empty()) return;
-  const int partition = partition_to_move(most, to);
-  if (partition >= 0) lease(partition, to, "it owns fewer");
+  if (receiver.empty() || counts.at(most_loaded) < counts.at(receiver) + kMinRebalanceDifference || !in_flight_.empty()) return;
+  const int partition = choose_partition_to_move(most_loaded, receiver);
+  if (partition >= 0) write_lease(partition, receiver, "it owns fewer");
 }
 
 // The first partition of `from`, or the first whose home is `to` if there is one; -1: none.
-int PartitionAssigner::partition_to_move(const std::string& from, const std::string& to) const {
+int PartitionAssigner::choose_partition_to_move(const std::string& from, const std::string& to) const {
   const auto labels = context_.settings.platform.labels();
   int first = -1;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
@@ -169,7 +169,7 @@
   return next;
 }
 
-void PartitionAssigner::lease(int partition, const std::string& label, const std::string& reason) {
+void PartitionAssigner::write_lease(int partition, const std::string& label, const std::string& reason) {
   if (in_flight_.count(partition) != 0) return;
   const model::PartitionLease next = next_lease(label);
   const std::string key = wire::lease_key(partition);
@@ -178,9 +178,9 @@
        {key, replica_.leases[static_cast<size_t>(partition)].revision}},
       {{key, wire::encode_lease(next), 0}},
       [this, partition, key](const store::TransactionResult& result) {
-        const bool read_back = result.outcome == store::TransactionOutcome::kConflict ||
+        const bool needs_read_back = result.outcome == store::TransactionOutcome::kConflict ||
                                result.outcome == store::TransactionOutcome::kUnknown;
-        if (read_back)
+        if (needs_read_back)
           committer_.refresh({key}, [this, partition] { in_flight_.erase(partition); });
         else
           in_flight_.erase(partition);
@@ -195,15 +195,15 @@
 
 std::set<int> PartitionAssigner::suspect_partitions() const {
   std::set<int> suspect;
-  const double believed_s = kSecondOpinionReports * context_.settings.platform.report_s;
+  const double trust_s = kSecondOpinionTrustReports * context_.settings.platform.report_s;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const std::string& owner = replica_.leases[i].owner;
     const int partition = static_cast<int>(i);
-    const bool doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
-    auto taken = taken_from_suspect_.find(partition);
-    const bool second_opinion =
-        taken != taken_from_suspect_.end() && context_.now.steady - taken->second < believed_s;
-    if (doubtful && !second_opinion) suspect.insert(partition);
+    const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
+    auto reassigned = reassigned_from_suspect_at_.find(partition);
+    const bool has_second_opinion =
+        reassigned != reassigned_from_suspect_at_.end() && context_.now.steady - reassigned->second < trust_s;
+    if (is_doubtful && !has_second_opinion) suspect.insert(partition);
   }
   return suspect;
 }
--- a/src/rooksill/leader/partition_assigner.h
+++ b/src/rooksill/leader/partition_assigner.h
@@ -41,20 +41,20 @@
  private:
   struct Candidates {
     std::vector<std::string> labels;   // controllers that may own partitions
-    std::map<std::string, int> owned;  // partitions by controller
-    bool include(const std::string& label) const;
+    std::map<std::string, int> partition_counts;  // partitions by controller
+    bool contains(const std::string& label) const;
     // The one with the fewest partitions; the first of them among equals.
     const std::string& least_loaded() const;
   };
 
   Candidates find_candidates();
-  bool may_own(const std::string& label);
-  std::string reason_against(const std::string& label) const;
-  bool waits_for_peers() const;
+  bool check_eligibility(const std::string& label);
+  std::string ineligibility_reason(const std::string& label) const;
+  bool should_wait_for_peers() const;
   void replace_owners(Candidates& candidates);
   void rebalance(const Candidates& candidates);
-  int partition_to_move(const std::string& from, const std::string& to) const;
-  void lease(int partition, const std::string& label, const std::string& reason);
+  int choose_partition_to_move(const std::string& from, const std::string& to) const;
+  void write_lease(int partition, const std::string& label, const std::string& reason);
   model::PartitionLease next_lease(const std::string& label) const;
 
   bool is_self(const std::string& label) const;
@@ -70,9 +70,9 @@
   const Election& election_;
 
   std::set<int> in_flight_;  // partitions whose lease was sent, or is being read back
-  std::map<std::string, std::string> unfit_;  // controller -> why it may own no partitions
+  std::map<std::string, std::string> ineligibility_reasons_;  // controller -> why it may own no partitions
   // When each partition was last taken from an owner that suspected itself.
-  std::map<int, double> taken_from_suspect_;
+  std::map<int, double> reassigned_from_suspect_at_;
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -15,33 +15,33 @@
 
 // The score's weights, per task if nothing else is said. Room for all tasks at once counts most,
 // then images that need not be fetched, then work that can be preempted.
-constexpr double kRoomWeight = 10;
+constexpr double kCapacityWeight = 10;
 constexpr double kImageWeight = 5;
 constexpr double kPreemptionWeight = 2;
 constexpr double kRelatedTaskWeight = 0.5;  // for a task of the job that is placed there already
-constexpr double kSpareRoomWeight = 0.01;   // for room beyond what is needed
-constexpr double kMaxSpareRoom = 100;       // tasks
+constexpr double kSpareCapacityWeight = 0.01;   // for room beyond what is needed
+constexpr double kMaxSpareTasks = 100;       // tasks
 constexpr double kTieBreakerWeight = 0.001;
-constexpr double kFailedBeforeDivisor = 2;
-constexpr double kCannotTakeScore = -1;
+constexpr double kFailedGangDivisor = 2;
+constexpr double kInfeasibleScore = -1;
 // Ordinary machines are worth less to work that may run on spot machines.
-constexpr double kOrdinaryForSpotFactor = 0.3;
+constexpr double kOrdinaryForSpotRatio = 0.3;
 
 bool depends_on_zones(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
 
 // How many of the wanted tasks fit into a pool of which so many CPUs may be used, weighted by how
 // suitable its machines are.
-double tasks_in_pool(const model::JobSpec& spec, const MachinePool& pool, double wanted,
+double tasks_in_pool(const model::JobSpec& spec, const MachinePool& pool, double max_tasks,
                      double cpus) {
-  double tasks = wanted;
+  double tasks = max_tasks;
   const auto limit_by = [&tasks](double available, double requested) {
     if (requested <= 0) return;
     tasks = std::min(tasks, std::floor(available / requested + model::Resources::kRoundingError));
   };
   limit_by(cpus, spec.request.cpus);
-  limit_by(pool.free.memory_gb, spec.request.memory_gb);
-  limit_by(pool.free.gpus, spec.request.gpus);
-  return std::max(0.0, tasks) * (spec.spot && !pool.spot ? kOrdinaryForSpotFactor : 1);
+  limit_by(pool.free_capacity.memory_gb, spec.request.memory_gb);
+  limit_by(pool.free_capacity.gpus, spec.request.gpus);
+  return std::max(0.0, tasks) * (spec.spot && !pool.spot ? kOrdinaryForSpotRatio : 1);
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
   quotas_.refresh(use);
 }
 
-int PartitionChooser::choose(const model::Job& job, uint32_t shard, std::optional<int> failed) {
+int PartitionChooser::choose(const model::Job& job, uint32_t shard, std::optional<int> failed_partition) {
   const Demand demand = demand_of(job, shard);
   const auto& pools = capacity_.pools();
   std::vector<quota::PartitionFit> fits(pools.size());
@@ -60,7 +60,7 @@
   for (size_t i = 0; i < pools.size(); ++i) {
     const int partition = static_cast<int>(i);
     scores.push_back(
-        score(partition, demand, room_in(pools[i], demand), failed == partition, fits[i]));
+        score(partition, demand, capacity_in(pools[i], demand), failed_partition == partition, fits[i]));
   }
   const auto best = std::max_element(scores.begin(), scores.end()) - scores.begin();
   const double within_share = fits[static_cast<size_t>(best)].within_share;
@@ -90,68 +90,68 @@
   return demand;
 }
 
-PartitionChooser::Room PartitionChooser::room_in(const std::vector<MachinePool>& pools,
+PartitionChooser::PartitionCapacity PartitionChooser::capacity_in(const std::vector<MachinePool>& pools,
                                                  const Demand& demand) const {
   const model::JobSpec& spec = *demand.spec;
-  Room room;
+  PartitionCapacity capacity;
   std::map<std::string, double> tasks_by_zone;
   for (const MachinePool& pool : pools) {
     if (!demand.filter.allows(pool)) continue;
-    tasks_by_zone[pool.zone] += tasks_in_pool(spec, pool, demand.tasks, pool.free.cpus);
-    room.preemptible_cpus += pool.cpus_below(spec.priority);
+    tasks_by_zone[pool.zone] += tasks_in_pool(spec, pool, demand.tasks, pool.free_capacity.cpus);
+    capacity.preemptible_cpus += pool.preemptible_cpus(spec.priority);
     auto with_image = pool.free_cpus_by_image.find(spec.image);
     if (with_image == pool.free_cpus_by_image.end()) continue;
-    const double cpus = std::min(with_image->second, pool.free.cpus);
-    room.with_image += tasks_in_pool(spec, pool, demand.tasks, cpus);
+    const double cpus = std::min(with_image->second, pool.free_capacity.cpus);
+    capacity.with_image += tasks_in_pool(spec, pool, demand.tasks, cpus);
   }
   for (const auto& [zone, tasks] : tasks_by_zone) {
     if (spec.one_zone) {
-      room.tasks = std::max(room.tasks, tasks);
+      capacity.tasks = std::max(capacity.tasks, tasks);
     } else if (spec.spread) {
       auto placed = demand.placed_by_zone.find(zone);
-      const uint32_t there = placed == demand.placed_by_zone.end() ? 0 : placed->second;
-      const uint32_t allowed = spec.most_in_zone() - std::min(there, spec.most_in_zone());
-      room.tasks += std::min(tasks, static_cast<double>(allowed));
+      const uint32_t placed_in_zone = placed == demand.placed_by_zone.end() ? 0 : placed->second;
+      const uint32_t allowed = spec.most_in_zone() - std::min(placed_in_zone, spec.most_in_zone());
+      capacity.tasks += std::min(tasks, static_cast<double>(allowed));
     } else {
-      room.tasks += tasks;
+      capacity.tasks += tasks;
     }
   }
-  return room;
+  return capacity;
 }
 
 // Also says how many tasks the partition has room for, and how many of them its quota share takes.
-double PartitionChooser::score(int partition, const Demand& demand, Room room, bool failed_before,
+double PartitionChooser::score(int partition, const Demand& demand, PartitionCapacity capacity, bool has_failed_before,
                                quota::PartitionFit& fit) {
   const model::JobSpec& spec = *demand.spec;
-  const double wanted = demand.tasks;
+  const double needed = demand.tasks;
   double score = 0;
   auto related = demand.placed_by_partition.find(partition);
   if (related != demand.placed_by_partition.end()) score = related->second;
   // A gang needs room for all of its tasks at once: of partitions with less, the one that comes
   // nearest is the best.
-  if (spec.shape == model::Shape::kGang && room.tasks < spec.tasks) {
-    score += room.tasks;
-    room.tasks = room.with_image = 0;
+  if (spec.shape == model::Shape::kGang && capacity.tasks < spec.tasks) {
+    score += capacity.tasks;
+    capacity.tasks = capacity.with_image = 0;
   }
-  fit.room = room.tasks;
+  fit.room = capacity.tasks;
   // A partition without a share for this team cannot take the job, whatever its room.
   if (quota::quota_share(context_.settings, replica_, spec.team, partition).cpus <
       spec.request.cpus)
-    return kCannotTakeScore;
+    return kInfeasibleScore;
   const double quota_left = quotas_.tasks_left(spec, partition);
-  fit.within_share = std::min(room.tasks, quota_left);
+  fit.within_share = std::min(capacity.tasks, quota_left);
   const double tasks = fit.within_share;
-  const double with_image = std::min(room.with_image, quota_left);
+  const double with_image = std::min(capacity.with_image, quota_left);
   // Where there is no room, work goes to where preemption can make it.
-  const double unplaced = std::max(0.0, std::min(wanted, quota_left) - tasks);
+  const double unplaced = std::max(0.0, std::min(needed, quota_left) - tasks);
   if (spec.request.cpus > 0)
     score += kPreemptionWeight *
-             std::min(unplaced, std::floor(room.preemptible_cpus / spec.request.cpus));
-  score += kRoomWeight * std::min(tasks, wanted) + kImageWeight * std::min(with_image, wanted) +
-           kSpareRoomWeight * std::min(tasks, kMaxSpareRoom);
+             std::min(unplaced, std::floor(capacity.preemptible_cpus / spec.request.cpus));
+  score += kCapacityWeight * std::min(tasks, needed) + kImageWeight * std::min(with_image, needed) +
+           kSpareCapacityWeight * std::min(tasks, kMaxSpareTasks);
   // Sums over machines overstate the room for a whole gang: where it found none, another partition
   // that seems to have room is tried.
-  if (failed_before) score /= kFailedBeforeDivisor;
+  if (has_failed_before) score /= kFailedGangDivisor;
   return score + tie_breaker(static_cast<size_t>(partition), demand);
 }
 
--- a/src/rooksill/leader/partition_chooser.h
+++ b/src/rooksill/leader/partition_chooser.h
@@ -29,11 +29,11 @@
   void refresh(const wire::MachineStatusMap& statuses, const std::vector<wire::QuotaUse>& use);
 
   // `failed`: the partition where a gang found no room.
-  int choose(const model::Job& job, uint32_t shard, std::optional<int> failed);
+  int choose(const model::Job& job, uint32_t shard, std::optional<int> failed_partition);
 
   // Transfers of quota to ask for now; `can_give` says by partition whose owner can be asked.
-  std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& can_give) {
-    return quotas_.decide_transfers(can_give);
+  std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& is_owner_reachable) {
+    return quotas_.decide_transfers(is_owner_reachable);
   }
 
  private:
@@ -48,15 +48,15 @@
     std::map<int, double> placed_by_partition;
   };
   // What a partition could take of it, in tasks.
-  struct Room {
+  struct PartitionCapacity {
     double tasks = 0;
     double with_image = 0;        // on machines that have the image
     double preemptible_cpus = 0;  // in use by work of a lower priority
   };
 
   Demand demand_of(const model::Job& job, uint32_t shard) const;
-  Room room_in(const std::vector<MachinePool>& pools, const Demand& demand) const;
-  double score(int partition, const Demand& demand, Room room, bool failed_before,
+  PartitionCapacity capacity_in(const std::vector<MachinePool>& pools, const Demand& demand) const;
+  double score(int partition, const Demand& demand, PartitionCapacity capacity, bool has_failed_before,
                quota::PartitionFit& fit);
   double tie_breaker(size_t partition, const Demand& demand) const;
 
--- a/src/rooksill/leader/waiting_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -1,4 +1,4 @@
-#include "rooksill/leader/waiting_work.h"
+#include "rooksill/leader/pending_work.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -9,9 +9,9 @@
 namespace {
 
 // Report periods that a shard has to wait before it counts as lacking room.
-constexpr double kWaitsPerReport = 6;
+constexpr double kMinPendingTimesPerReport = 6;
 
-bool goes_first(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
+bool precedes(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
   if (a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
   return a.job->submitted < b.job->submitted;
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-std::vector<fleet::WaitingTasks> WaitingWork::collect() {
+std::vector<fleet::WaitingTasks> PendingWork::collect() {
   std::vector<fleet::WaitingTasks> work;
-  std::map<model::ShardId, double> waiting_since;
+  std::map<model::ShardId, double> pending_since;
   const double now = context_.now.steady;
-  const double patience = context_.settings.platform.report_s / kWaitsPerReport;
+  const double min_pending_s = context_.settings.platform.report_s / kMinPendingTimesPerReport;
   for (const auto& id : replica_.waiting_jobs) {
     if (owner_.backing_off(id)) continue;
     const model::Job& job = *replica_.job(id);
@@ -32,15 +32,15 @@
       const uint32_t unplaced = job.shards[index].unplaced();
       if (unplaced == 0) continue;
       const model::ShardId shard{id, index};
-      auto known = waiting_since_.find(shard);
-      const double since = known != waiting_since_.end() ? known->second : now;
-      waiting_since[shard] = since;
-      if (now - since > patience) tasks += unplaced;
+      auto known = pending_since_.find(shard);
+      const double since = known != pending_since_.end() ? known->second : now;
+      pending_since[shard] = since;
+      if (now - since > min_pending_s) tasks += unplaced;
     }
     if (tasks > 0) work.push_back({&job, tasks});
   }
-  waiting_since_ = std::move(waiting_since);
-  std::sort(work.begin(), work.end(), goes_first);
+  pending_since_ = std::move(pending_since);
+  std::sort(work.begin(), work.end(), precedes);
   return work;
 }
 
--- a/src/rooksill/leader/waiting_work.h
+++ b/src/rooksill/leader/pending_work.h
@@ -14,13 +14,13 @@
 
 // Remembers since when each shard has had unplaced tasks, by the steady clock. A shard that came
 // just now is still being placed: only what has waited for a while counts as lacking room.
-class WaitingWork {
+class PendingWork {
  public:
-  WaitingWork(runtime::Context& context, const store::Replica& replica,
+  PendingWork(runtime::Context& context, const store::Replica& replica,
               const partition::PartitionOwner& owner)
       : context_(context), replica_(replica), owner_(owner) {}
 
-  void start_term() { waiting_since_.clear(); }
+  void start_term() { pending_since_.clear(); }
   // The jobs with waiting tasks, highest priority first, then in order of submission. Jobs that are
   // backing off after failures are left out.
   std::vector<fleet::WaitingTasks> collect();
@@ -29,7 +29,7 @@
   runtime::Context& context_;
   const store::Replica& replica_;
   const partition::PartitionOwner& owner_;
-  std::map<model::ShardId, double> waiting_since_;
+  std::map<model::ShardId, double> pending_since_;
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -11,13 +11,13 @@
 
 namespace {
 // How long a shard waits with a partition before another is tried, in report periods.
-constexpr double kPatienceReports = 1;
-constexpr double kGangPatienceReports = 0.25;
+constexpr double kRetryReports = 1;
+constexpr double kGangRetryReports = 0.25;
 constexpr double kRefreshesPerReport = 10;
 constexpr double kFullSendsPerReport = 6;
 // Each turn looks at so many waiting jobs, or at such a part of them if that is more.
 constexpr size_t kMinJobsPerTurn = 20;
-constexpr size_t kTurnsForAllJobs = 10;
+constexpr size_t kTurnsPerFullCycle = 10;
 }  // namespace
 
 Router::Router(runtime::Context& context, const store::Replica& replica, membership::Peers& peers,
@@ -32,13 +32,13 @@
 void Router::start_term(uint64_t term) {
   term_ = term;
   routes_.clear();
-  fresh_routes_.clear();
-  next_full_send_ = next_refresh_ = 0;
+  unsent_routes_.clear();
+  next_full_send_at_ = next_refresh_at_ = 0;
 }
 
 void Router::refresh(const wire::MachineStatusMap& statuses) {
-  if (context_.now.steady < next_refresh_) return;
-  next_refresh_ = context_.now.steady + context_.settings.platform.report_s / kRefreshesPerReport;
+  if (context_.now.steady < next_refresh_at_) return;
+  next_refresh_at_ = context_.now.steady + context_.settings.platform.report_s / kRefreshesPerReport;
   chooser_.refresh(statuses, reported_quota_use());
 }
 
@@ -65,29 +65,29 @@
 // ---- routes
 // ----------------------------------------------------------------------------------------
 
-void Router::route_touched_jobs() {
+void Router::route_changed_jobs() {
   for (const auto& id : replica_.changes.touched_jobs)
-    if (replica_.waiting_jobs.count(id) != 0) touched_jobs_.insert(id);
-  if (touched_jobs_.empty()) return;
-  route(touched_jobs_);
-  touched_jobs_.clear();
+    if (replica_.waiting_jobs.count(id) != 0) changed_jobs_.insert(id);
+  if (changed_jobs_.empty()) return;
+  route(changed_jobs_);
+  changed_jobs_.clear();
   send_routes();
 }
 
-void Router::route_next_jobs() {
-  const auto& waiting = replica_.waiting_jobs;
-  const size_t most = std::max(kMinJobsPerTurn, waiting.size() / kTurnsForAllJobs);
-  std::set<std::string> turn;
-  auto job = waiting.upper_bound(last_looked_at_);
-  for (; job != waiting.end() && turn.size() < most; ++job) turn.insert(*job);
-  last_looked_at_ = job == waiting.end() ? "" : *turn.rbegin();
-  route(turn);
+void Router::retry_pending_jobs() {
+  const auto& pending = replica_.waiting_jobs;
+  const size_t max_jobs = std::max(kMinJobsPerTurn, pending.size() / kTurnsPerFullCycle);
+  std::set<std::string> batch;
+  auto job = pending.upper_bound(last_retried_job_);
+  for (; job != pending.end() && batch.size() < max_jobs; ++job) batch.insert(*job);
+  last_retried_job_ = job == pending.end() ? "" : *batch.rbegin();
+  route(batch);
   send_routes();
 }
 
 // Owners that hear no leader place what falls to them by the fallback rule; while there are such
 // owners, the leader routes by it as well, so that no two owners place the same shard.
-bool Router::some_owner_does_not_hear_us() const {
+bool Router::is_unreachable_for_some_owner() const {
   return std::any_of(replica_.leases.begin(), replica_.leases.end(), [&](const auto& lease) {
     return !lease.owner.empty() && lease.owner != context_.settings.platform.label &&
            !peers_.heard(lease.owner);
@@ -95,14 +95,14 @@
 }
 
 void Router::route(const std::set<std::string>& jobs) {
-  const bool leader_unheard = some_owner_does_not_hear_us();
+  const bool uses_fallback = is_unreachable_for_some_owner();
   for (const auto& id : jobs) {
     const model::Job* job = replica_.job(id);
     if (job == nullptr || replica_.waiting_jobs.count(id) == 0) continue;
-    const bool gang = job->spec.shape == model::Shape::kGang;
-    const double patience_s =
-        (gang ? kGangPatienceReports : kPatienceReports) * context_.settings.platform.report_s;
-    JobRouting routing{job, leader_unheard, patience_s, std::nullopt};
+    const bool is_gang = job->spec.shape == model::Shape::kGang;
+    const double retry_interval_s =
+        (is_gang ? kGangRetryReports : kRetryReports) * context_.settings.platform.report_s;
+    JobRouting routing{job, uses_fallback, retry_interval_s, std::nullopt};
     for (uint32_t index = 0; index < job->shards.size(); ++index) route_shard(routing, index);
   }
 }
@@ -118,19 +118,19 @@
   if (spec.one_zone || spec.spread || spec.shape == model::Shape::kGang)
     routing.common_partition = partition;
   if (current != nullptr && current->partition == partition) {
-    if (now - current->since >= routing.patience_s) current->since = now;
+    if (now - current->assigned_at >= routing.retry_interval_s) current->assigned_at = now;
     return;
   }
   routes_[shard] = {partition, now};
-  fresh_routes_[partition].push_back({shard.job, shard.index});
+  unsent_routes_[partition].push_back({shard.job, shard.index});
 }
 
 int Router::choose_partition(const JobRouting& routing, uint32_t index, const Route* current) {
   const model::Job& job = *routing.job;
-  if (current != nullptr && context_.now.steady - current->since < routing.patience_s)
+  if (current != nullptr && context_.now.steady - current->assigned_at < routing.retry_interval_s)
     return current->partition;
   if (routing.common_partition) return *routing.common_partition;
-  if (routing.leader_unheard)
+  if (routing.uses_fallback)
     return routing::fallback_partition(context_.settings, replica_, job, index, context_.now.wall);
   std::optional<int> failed;
   if (job.spec.shape == model::Shape::kGang && current != nullptr) failed = current->partition;
@@ -142,23 +142,23 @@
 
 void Router::send_routes() {
   const double now = context_.now.steady;
-  const bool full = now >= next_full_send_;
+  const bool full = now >= next_full_send_at_;
   const auto moves = fleet_.take_moves();
   const auto transfers = chooser_.decide_transfers(reachable_partitions());
-  if (!full && fresh_routes_.empty() && moves.empty() && transfers.empty()) return;
+  if (!full && unsent_routes_.empty() && moves.empty() && transfers.empty()) return;
   Messages messages = empty_messages(full);
   if (full) {
-    next_full_send_ = now + context_.settings.platform.report_s / kFullSendsPerReport;
-    forget_placed_shards();
+    next_full_send_at_ = now + context_.settings.platform.report_s / kFullSendsPerReport;
+    remove_placed_shards();
     add_all_routes(messages);
   } else {
-    add_fresh_routes(messages);
+    add_unsent_routes(messages);
   }
-  fresh_routes_.clear();
+  unsent_routes_.clear();
   for (auto& [label, message] : messages) message.moves = moves;
   for (const auto& transfer : transfers)
     messages[owner_of(transfer.from)].transfers.push_back(transfer);
-  deliver(messages, full);
+  send_messages(messages, full);
 }
 
 std::vector<bool> Router::reachable_partitions() const {
@@ -179,7 +179,7 @@
   return messages;
 }
 
-void Router::forget_placed_shards() {
+void Router::remove_placed_shards() {
   std::erase_if(routes_, [&](const auto& entry) {
     const model::ShardId& shard = entry.first;
     const model::Job* job = replica_.job(shard.job);
@@ -196,17 +196,17 @@
       messages[owner_of(machine->partition)].drain.push_back(name);
 }
 
-void Router::add_fresh_routes(Messages& messages) const {
-  for (const auto& [partition, fresh] : fresh_routes_) {
+void Router::add_unsent_routes(Messages& messages) const {
+  for (const auto& [partition, unsent] : unsent_routes_) {
     auto& routes = messages[owner_of(partition)].routes;
-    routes.insert(routes.end(), fresh.begin(), fresh.end());
+    routes.insert(routes.end(), unsent.begin(), unsent.end());
   }
 }
 
-void Router::deliver(const Messages& messages, bool full) {
+void Router::send_messages(const Messages& messages, bool full) {
   for (const auto& [label, message] : messages) {
-    const bool empty = message.routes.empty() && message.moves.empty() && message.transfers.empty();
-    if (!full && empty) continue;
+    const bool is_empty = message.routes.empty() && message.moves.empty() && message.transfers.empty();
+    if (!full && is_empty) continue;
     if (label == context_.settings.platform.label)
       owner_.routes(message);
     else if (!label.empty())
--- a/src/rooksill/leader/router.h
+++ b/src/rooksill/leader/router.h
@@ -33,20 +33,20 @@
   // Takes up what owners report of room and quota use, every so often.
   void refresh(const wire::MachineStatusMap& statuses);
   // Routes the jobs that the last batch of changes touched.
-  void route_touched_jobs();
+  void route_changed_jobs();
   // Looks again at some of the jobs that found no room, in turn.
-  void route_next_jobs();
+  void retry_pending_jobs();
 
  private:
   struct Route {
     int partition = 0;
-    double since = 0;
+    double assigned_at = 0;
   };
   // How the shards of one job are routed.
   struct JobRouting {
     const model::Job* job = nullptr;
-    bool leader_unheard = false;  // by some owner
-    double patience_s = 0;        // that a shard stays with a partition
+    bool uses_fallback = false;  // by some owner
+    double retry_interval_s = 0;        // that a shard stays with a partition
     // Where all of the job's shards go, once the first of them has been routed, if its tasks depend
     // on each other's places: one partition at a time decides for such a job.
     std::optional<int> common_partition;
@@ -56,7 +56,7 @@
   void route(const std::set<std::string>& jobs);
   void route_shard(JobRouting& routing, uint32_t index);
   int choose_partition(const JobRouting& routing, uint32_t index, const Route* current);
-  bool some_owner_does_not_hear_us() const;
+  bool is_unreachable_for_some_owner() const;
   std::vector<wire::QuotaUse> reported_quota_use() const;
   bool is_owned_by(int partition, const std::string& label) const;
 
@@ -64,9 +64,9 @@
   std::vector<bool> reachable_partitions() const;
   Messages empty_messages(bool full) const;
   void add_all_routes(Messages& messages);
-  void add_fresh_routes(Messages& messages) const;
-  void forget_placed_shards();
-  void deliver(const Messages& messages, bool full);
+  void add_unsent_routes(Messages& messages) const;
+  void remove_placed_shards();
+  void send_messages(const Messages& messages, bool full);
   const std::string& owner_of(int partition) const;
 
   runtime::Context& context_;
@@ -78,11 +78,11 @@
 
   uint64_t term_ = 0;
   std::map<model::ShardId, Route> routes_;
-  std::map<int, std::vector<wire::ShardRoute>> fresh_routes_;  // not sent yet, by partition
-  std::set<std::string> touched_jobs_;                         // not routed yet
-  std::string last_looked_at_;                                 // the last job of the turn before
-  double next_refresh_ = 0;
-  double next_full_send_ = 0;
+  std::map<int, std::vector<wire::ShardRoute>> unsent_routes_;  // not sent yet, by partition
+  std::set<std::string> changed_jobs_;                         // not routed yet
+  std::string last_retried_job_;                                 // the last job of the turn before
+  double next_refresh_at_ = 0;
+  double next_full_send_at_ = 0;
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/policy/demand.h
+++ b/src/rooksill/policy/demand.h
@@ -19,12 +19,12 @@
   // So many machines' worth of tasks ran for that long.
   void record_busy(double machines, double seconds) { busy_machine_seconds_ += machines * seconds; }
   // Takes what was recorded since the last call into the means.
-  void end_period(double period_s, double cap);
+  void end_period(double period_s, double max_growth_ratio);
 
   // λ: arrivals per period.
-  double lambda() const { return lambda_; }
+  double arrival_rate() const { return arrival_rate_; }
   // μ: completions per busy machine and period.
-  double mu() const { return mu_; }
+  double service_rate() const { return service_rate_; }
 
  private:
   // In the present period.
@@ -32,11 +32,11 @@
   double finished_ = 0;
   double busy_machine_seconds_ = 0;
   // Means over the periods before.
-  double lambda_ = 0;
-  double mu_ = 1;
-  double mean_finished_ = 0;
-  double mean_busy_machines_ = 0;
-  int periods_ = 0;  // in which there was any work
+  double arrival_rate_ = 0;
+  double service_rate_ = 1;
+  double average_finished_ = 0;
+  double average_busy_machines_ = 0;
+  int active_periods_ = 0;  // in which there was any work
 };
 
 }  // namespace rooksill::policy
--- a/src/rooksill/routing/fallback_routing.cc
+++ b/src/rooksill/routing/fallback_routing.cc
@@ -11,14 +11,14 @@
 constexpr double kTurnReports = 2;  // that a shard stays with one partition
 
 // One partition at a time decides for a job whose tasks depend on each other's places.
-bool needs_common_partition(const model::JobSpec& spec) {
+bool requires_common_partition(const model::JobSpec& spec) {
   return spec.one_zone || spec.spread || spec.shape == model::Shape::kGang;
 }
 
 // Spreads jobs, and the shards of a job, over the partitions.
-uint64_t first_turn(const model::JobSpec& spec, uint32_t shard) {
-  uint64_t hash = needs_common_partition(spec) ? 0 : shard;
-  for (unsigned char c : spec.id) hash = hash * 31 + c;
+uint64_t initial_turn(const model::JobSpec& spec, uint32_t shard) {
+  uint64_t hash = requires_common_partition(spec) ? 0 : shard;
+  for (unsigned char character : spec.id) hash = hash * 31 + character;
   return hash;
 }
 
@@ -28,7 +28,7 @@
                        const model::Job& job, uint32_t shard, double wall_time) {
   const double turn_s = kTurnReports * settings.platform.report_s;
   const size_t partitions = replica.leases.size();
-  uint64_t turn = first_turn(job.spec, shard) +
+  uint64_t turn = initial_turn(job.spec, shard) +
                   static_cast<uint64_t>(std::max(0.0, wall_time - job.submitted) / turn_s);
   for (size_t i = 0; i < partitions; ++i, ++turn) {
     const int partition = static_cast<int>(turn % partitions);
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -24,38 +24,38 @@
 }
 
 void full(policy::Demand&, const Line& line) {
-  expect_near(line, policy::chance_full(line.get("s", 1), line.get_integer("y", 0),
+  expect_near(line, policy::probability_all_busy(line.get("s", 1), line.get_integer("y", 0),
                                         line.get_integer("rented", 1), line.get("mu", 1),
                                         line.get("lambda", 1)));
 }
 
 void unplanned(policy::Demand&, const Line& line) {
-  expect_near(line, policy::expected_unplanned(line.get("t", 1), line.get_integer("y", 0),
+  expect_near(line, policy::expected_unplanned_rentals(line.get("t", 1), line.get_integer("y", 0),
                                                line.get_integer("rented", 1), line.get("mu", 1),
                                                line.get("lambda", 1)));
 }
 
 policy::SizingInput read_input(const Line& line) {
   policy::SizingInput input;
-  input.x = line.get_integer("x", 0);
-  input.y = line.get("y", 0);
-  input.lambda = line.get("lambda", 1);
-  input.mu = line.get("mu", 1);
-  input.ceiling = line.get_integer("ceiling", 20);
-  input.periods = line.get_integer("periods", 3);
-  input.c1 = line.get("c1", 1);
-  input.c2 = line.get("c2", 3);
-  input.h = line.get("h", 1);
+  input.rented = line.get_integer("x", 0);
+  input.busy = line.get("y", 0);
+  input.arrival_rate = line.get("lambda", 1);
+  input.service_rate = line.get("mu", 1);
+  input.max_machines = line.get_integer("ceiling", 20);
+  input.horizon_periods = line.get_integer("periods", 3);
+  input.planned_cost = line.get("c1", 1);
+  input.unplanned_cost = line.get("c2", 3);
+  input.holding_cost = line.get("h", 1);
   return input;
 }
 
 void size(policy::Demand&, const Line& line) {
   const auto result = policy::size_fleet(read_input(line));
-  if (line.has("u")) near(line, result.u, line.get("u", 0), 0);
-  if (line.has("at_least") && result.u < line.get("at_least", 0))
-    fail(line, "u is " + std::to_string(result.u));
-  if (line.has("at_most") && result.u > line.get("at_most", 0))
-    fail(line, "u is " + std::to_string(result.u));
+  if (line.has("u")) near(line, result.machines_to_rent, line.get("u", 0), 0);
+  if (line.has("at_least") && result.machines_to_rent < line.get("at_least", 0))
+    fail(line, "u is " + std::to_string(result.machines_to_rent));
+  if (line.has("at_most") && result.machines_to_rent > line.get("at_most", 0))
+    fail(line, "u is " + std::to_string(result.machines_to_rent));
   if (line.has("cost"))
     near(line, result.cost, line.get("cost", 0), line.get("within", kTolerance));
 }
@@ -69,8 +69,8 @@
 
 void demand(policy::Demand& demand, const Line& line) {
   const double tolerance = line.get("within", kTolerance);
-  if (line.has("lambda")) near(line, demand.lambda(), line.get("lambda", 0), tolerance);
-  if (line.has("mu")) near(line, demand.mu(), line.get("mu", 0), tolerance);
+  if (line.has("lambda")) near(line, demand.arrival_rate(), line.get("lambda", 0), tolerance);
+  if (line.has("mu")) near(line, demand.service_rate(), line.get("mu", 0), tolerance);
 }
 
 const VerbTable<policy::Demand>& verbs() {
