--- a/src/rooksill/leader/capacity_view.cc
+++ b/src/rooksill/leader/capacity_view.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// What the machines of one pool have in common.
+// The properties shared by all machines of a pool.
 struct PoolKey {
   std::string type;
   std::string zone;
@@ -78,7 +78,7 @@
     pool.free_capacity -= spec.request * fitting;
     tasks -= fitting;
   }
-  // What found no free room preempts work of a lower priority.
+  // Tasks that exceed the free capacity preempt tasks of a lower priority.
   for (MachinePool& pool : pools) {
     if (!filter.allows(pool)) continue;
     for (size_t i = 0; i < static_cast<size_t>(spec.priority) && tasks > 0; ++i) {
--- a/src/rooksill/leader/capacity_view.h
+++ b/src/rooksill/leader/capacity_view.h
@@ -1,4 +1,4 @@
-// The leader's view of free capacity in each partition.
+// The leader's estimate of the free capacity in each partition, by machine type and zone.
 #pragma once
 
 #include <array>
@@ -14,41 +14,44 @@
 
 namespace rooksill::leader {
 
-// The machines of one partition that are of the same type and in the same zone, and are all spot
-// machines or all ordinary ones.
+// The total capacity of a partition's machines that have the same type and zone and are either all
+// spot or all on-demand machines.
 struct MachinePool {
-  const model::MachineType* type = nullptr;
+  const model::MachineType* type = nullptr;  // owned by the store replica
   std::string zone;
   bool spot = false;
-  model::Resources free_capacity;
-  // CPUs of tasks there that are not being stopped.
+  model::Resources free_capacity;  // summed over the machines
+  // CPUs used by the pool's tasks, by priority, without tasks that are being stopped.
   std::array<double, model::kPriorities> cpus_by_priority{};
-  // Free CPUs on machines that have an image.
+  // Free CPUs on the machines that have the image in their cache.
   std::unordered_map<std::string, double> free_cpus_by_image;
 
-  // CPUs that preempting all tasks of a lower priority would free.
+  // Returns the CPUs that preempting every task of a lower priority would free.
   double preemptible_cpus(model::Priority priority) const;
 };
 
-// Which machines a job's tasks may run on.
+// Constraints of a job on the machines that may run its tasks.
 struct MachineFilter {
   const model::JobSpec* spec = nullptr;
-  std::string zone;  // the only one allowed; empty: any
+  std::string zone;  // the only allowed zone; empty if every zone is allowed
+
+  // Returns whether the job's tasks may run on the machines of the pool.
   bool allows(const MachinePool& pool) const;
 };
 
-// Free capacity by partition, as owners last reported it and less what was routed there since. Soft
-// state: a view that is out of date costs time, since owners place only where there is room.
+// Estimates the free capacity of each partition: what the partition owner last reported, less what
+// the leader has routed to the partition since. A stale estimate only delays placement, because
+// owners check the actual capacity before they place a task.
 class CapacityView {
  public:
   explicit CapacityView(const store::Replica& replica) : replica_(replica) {}
 
-  // Starts again from what owners report of their machines.
+  // Discards all deductions and recomputes the pools from the reported machine statuses.
   void rebuild(const wire::MachineStatusMap& statuses);
-  // By partition; a partition of which nothing was reported has no pools.
+  // Returns the pools by partition. A partition without reported machines has no pools.
   const std::vector<std::vector<MachinePool>>& pools();
-  // Takes off what so many tasks will use in a partition, so that the next job finds less room
-  // there also before the owner has reported it.
+  // Deducts the capacity that `tasks` tasks routed to the partition will use, so that the next
+  // choice accounts for them before the partition owner reports them.
   void deduct(int partition, const MachineFilter& filter, double tasks);
 
  private:
--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -11,17 +11,17 @@
 namespace rooksill::leader {
 
 namespace {
-constexpr double kUsableLeaseRatio = 0.9;  // the rest covers the drift of clocks
-constexpr double kRequestTimeoutSeconds = 1;         // seconds
+constexpr double kUsableLeaseRatio = 0.9;  // the rest allows for clock drift
+constexpr double kRequestTimeoutSeconds = 1;
 constexpr double kMinLeaseTtlMs = 100;
 constexpr double kMaxLeaseTtlMs = 600000;
-// Parts of the lease's time.
+// Intervals, as divisors of the lease's TTL.
 constexpr double kRenewalsPerTtl = 4;
 constexpr double kRenewalRetriesPerTtl = 12;
-constexpr double kCampaignsPerTtl = 5;        // attempts of one candidate
-constexpr double kCampaignJitterPerTtl = 10;  // so that candidates do not collide each time
+constexpr double kCampaignsPerTtl = 5;        // attempts of one candidate per TTL
+constexpr double kCampaignJitterPerTtl = 10;  // keeps candidates from colliding repeatedly
 constexpr double kFirstCampaignJitterPerTtl = 20;
-// Silences after which a leader that hears no other controller resigns.
+// A leader that receives no message from any other controller for this many peer timeouts resigns.
 constexpr double kIsolationPeerTimeouts = 2;
 }  // namespace
 
@@ -64,12 +64,13 @@
 
 void Election::maintain_leadership() {
   const double now = context_.now.steady;
-  if (now >= lease_valid_until_ || !leader_key_is_ours()) return resign("lease ended");
+  if (now >= lease_valid_until_ || !leader_key_is_ours()) return resign("its lease expired or another process holds the leader key");
   if (peers_.last_heard_any() > term_started_at_) has_received_from_peer_ = true;
-  // A leader that hears nobody may be cut off while its lease lasts; the others cannot know.
+  // A leader that receives no messages may be isolated from the other controllers while its lease
+  // is still valid, and the others cannot detect that.
   if (has_received_from_peer_ && now - peers_.last_heard_any() > kIsolationPeerTimeouts * peers_.silence()) {
     has_received_from_peer_ = false;
-    return resign("no other controller is heard");
+    return resign("all other controllers are unreachable");
   }
   if (!is_renewal_pending_ && now >= next_renewal_at_) renew();
 }
@@ -78,8 +79,8 @@
   const double ttl = lease_ttl();
   const double now = context_.now.steady;
   const bool has_leader = replica_.leader.revision != model::kNoRevision;
-  // An earlier process of this controller is dead for certain: its key need not expire first. That
-  // of any other controller must.
+  // An earlier process of this controller is known to have ended, so its key may be replaced before
+  // its lease expires. The key of any other controller may not.
   const bool is_key_of_earlier_process = has_leader &&
                             replica_.leader.label == context_.settings.platform.label &&
                             replica_.leader.incarnation != context_.incarnation;
@@ -91,7 +92,8 @@
     vacant_since_ = now;
     next_campaign_at_ = now + context_.uniform(0, ttl / kFirstCampaignJitterPerTtl);
   }
-  // A controller that hears no other one gives those that hear each other time to elect a leader.
+  // An isolated controller waits for one TTL, so that controllers that can reach each other elect a
+  // leader first.
   const bool is_isolated =
       !peers_.labels().empty() && now - peers_.last_heard_any() > peers_.silence();
   if (is_isolated && now - vacant_since_ < ttl) return;
@@ -133,7 +135,7 @@
         state_ = State::kFollower;
         if (result.outcome == store::TransactionOutcome::kApplied)
           return start_term(term, lease_id, request);
-        // Whatever became of the transaction: with the lease given back, the key goes as well.
+        // Even if the transaction was applied, releasing the lease deletes the leader key.
         release_lease(lease_id);
         if (result.outcome == store::TransactionOutcome::kConflict)
           committer_.refresh({wire::kTermKey, wire::kLeaderKey}, [] {});
@@ -149,7 +151,7 @@
   lease_valid_until_ = request.sent_at + request.ttl_s * kUsableLeaseRatio;
   next_renewal_at_ = context_.now.steady + request.ttl_s / kRenewalsPerTtl;
   term_started_at_ = context_.now.steady;
-  context_.info("leader", "leading in term {}", term);
+  context_.info("leader", "became leader in term {}", term);
   handlers_.on_start(term);
 }
 
@@ -170,11 +172,11 @@
   next_renewal_at_ =
       context_.now.steady + request.ttl_s / (is_renewed ? kRenewalsPerTtl : kRenewalRetriesPerTtl);
   if (is_renewed) lease_valid_until_ = request.sent_at + request.ttl_s * kUsableLeaseRatio;
-  if (response.status == 404) resign("lease is gone");
+  if (response.status == 404) resign("the store no longer has its lease");
 }
 
 void Election::resign(const std::string& reason) {
-  context_.info("leader", "term {} ends here: {}", term_, reason);
+  context_.info("leader", "resigned from term {}: {}", term_, reason);
   state_ = State::kFollower;
   is_renewal_pending_ = false;
   handlers_.on_end();
--- a/src/rooksill/leader/election.h
+++ b/src/rooksill/leader/election.h
@@ -1,5 +1,5 @@
-// Election of the leader. Whoever writes the leader's key under a lease of the key-value store
-// leads until that lease ends.
+// Leader election. The controller that writes the leader key under a lease of the key-value store
+// leads until that lease expires.
 #pragma once
 
 #include <cstdint>
@@ -15,39 +15,41 @@
 
 namespace rooksill::leader {
 
-// What this process does when a term of its own begins and ends.
+// Callbacks that run when a term of this process begins and ends.
 struct TermHandlers {
   std::function<void(uint64_t term)> on_start;
   std::function<void()> on_end;
 };
 
-// Owns this process's part in the election: it stands as a candidate while nobody leads, renews its
-// lease while it leads, and resigns when the lease is lost or no other controller is heard. At most
-// one process leads at a time: the leader's key and the term counter are written in one transaction
-// that has both as preconditions, and a leader counts on less than its lease's time. Times are
-// seconds of the steady clock.
+// Runs this process's side of the election: it campaigns while there is no leader, renews its lease
+// while it leads, and resigns when the lease is lost or all other controllers are unreachable. At
+// most one process leads at a time, because the leader key and the term counter are written in one
+// transaction with preconditions on both, and because a leader relies on its lease for less than
+// the lease's TTL. Times are seconds of the steady clock.
 class Election {
  public:
   Election(runtime::Context& context, const store::Replica& replica, store::Client& client,
            store::Committer& committer, const membership::Peers& peers, TermHandlers handlers);
 
-  // Takes whatever step is due: campaign, renew, resign.
+  // Campaigns, renews the lease or resigns if that is due.
   void tick();
 
-  // Whether this process leads now, as far as its lease and its replica say.
+  // Returns whether this process leads now, according to its lease and its replica of the store.
   bool is_leading() const;
-  // No leader has been heard for a while: owners of partitions go on by themselves.
+  // Returns whether this process does not lead and has received no message from a leader for half
+  // the peer timeout. Partition owners then place work without a leader.
   bool is_leader_unreachable() const;
-  // The term in which this process leads; 0 while it does not.
+  // Returns the term in which this process leads; 0 if it does not lead.
   uint64_t term() const { return is_leading() ? term_ : 0; }
-  // When this process's latest term began.
+  // Returns when the latest term of this process began; 0 if it has not led yet.
   double term_started_at() const { return term_started_at_; }
-  // When this process's first tick was; 0 before.
+  // Returns the time of the first tick of this process; 0 before it.
   double first_tick_at() const { return first_tick_at_; }
 
  private:
   enum class State { kFollower, kCampaigning, kLeading };
-  // A lease counts from the moment at which it was asked for.
+  // A request for a lease or for its renewal. The TTL is counted from the moment the request was
+  // sent, which is never later than the store's own start of the lease.
   struct LeaseRequest {
     double sent_at = 0;
     double ttl_s = 0;
@@ -75,13 +77,13 @@
 
   State state_ = State::kFollower;
   bool is_renewal_pending_ = false;
-  bool has_received_from_peer_ = false;  // in this term
+  bool has_received_from_peer_ = false;  // a message of any other controller, in this term
   uint64_t term_ = 0;
   uint64_t lease_id_ = 0;
-  double lease_valid_until_ = 0;  // this process counts on its lease until then
+  double lease_valid_until_ = 0;  // this process does not rely on its lease after that
   double next_renewal_at_ = 0;
   double next_campaign_at_ = 0;
-  double vacant_since_ = 0;  // when the leader's key was first seen to be missing; 0: it is there
+  double vacant_since_ = 0;  // when the leader key was first seen to be absent; 0: it is present
   double term_started_at_ = 0;
   double first_tick_at_ = 0;
 };
--- a/src/rooksill/leader/job_finisher.h
+++ b/src/rooksill/leader/job_finisher.h
@@ -1,4 +1,4 @@
-// Records the end of jobs that nobody else has recorded.
+// Records the completion of jobs that no partition owner has recorded.
 #pragma once
 
 #include <set>
@@ -9,17 +9,17 @@
 
 namespace rooksill::leader {
 
-// Usually the owner whose transaction completes a job's last task also records that the job is
-// done. Two owners may complete the last tasks of a job at once, each without seeing the other's
-// transaction; the leader then records the end.
+// Usually the partition owner whose transaction completes a job's last task also records that the
+// job is done. If two owners complete the last tasks of a job concurrently, neither sees the other's
+// transaction, and the leader records the completion.
 class JobFinisher {
  public:
   JobFinisher(const store::Replica& replica, store::Committer& committer)
       : replica_(replica), committer_(committer) {}
 
-  // A new term: transactions of the earlier one are not waited for.
+  // Resets the state at the start of a term; transactions of an earlier term are no longer awaited.
   void start_term() { in_flight_.clear(); }
-  // Writes the end of each open job whose tasks are all done.
+  // Records the completion of each open job whose tasks are all done.
   void finish_jobs();
 
  private:
@@ -27,7 +27,7 @@
 
   const store::Replica& replica_;
   store::Committer& committer_;
-  std::set<std::string> in_flight_;  // jobs whose end was sent, or is being read back
+  std::set<std::string> in_flight_;  // jobs with a pending transaction or read-back
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -30,7 +30,8 @@
   assigner_.assign();
   job_finisher_.finish_jobs();
   router_.refresh(statuses);
-  // What waits changes slowly beside the tick: it is summed up only when the fleet asks for it.
+  // Pending work changes slowly compared with the tick interval, so it is collected only when the
+  // fleet needs it.
   std::vector<fleet::WaitingTasks> pending;
   if (fleet_.wants_waiting()) pending = pending_work_.collect();
   fleet_.tick(statuses, pending, assigner_.suspect_partitions(), assigner_.unreachable_zones());
--- a/src/rooksill/leader/leader.h
+++ b/src/rooksill/leader/leader.h
@@ -1,4 +1,4 @@
-// Leadership: what one controller does for all of them while it leads.
+// The leader's duties, which one controller at a time performs for all controllers.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,10 @@
 
 namespace rooksill::leader {
 
-// Takes part in the election and, while this process leads, runs the leader's jobs in a fixed
-// order: assign partitions, finish jobs, size the fleet, route shards. Everything but the
-// election's and the partitions' leases in the store is soft state that a new leader gathers again.
+// Takes part in the election and, while this process leads, runs the leader's duties in a fixed
+// order: assigning partitions, finishing jobs, managing the fleet, routing shards. Except for the
+// leader's and the partitions' leases in the store, all of it is soft state that a new leader
+// collects again.
 class Leader {
  public:
   Leader(runtime::Context& context, store::Replica& replica, store::Client& client,
@@ -30,15 +31,17 @@
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // `statuses`: what owners report of their machines.
+  // Runs the election and, if this process leads, the leader's duties. `statuses`: machine statuses
+  // reported by the partition owners.
   void tick(const wire::MachineStatusMap& statuses);
-  // Routes at once the jobs that the last batch of changes touched.
+  // Routes the jobs affected by the last batch of store changes without waiting for the next tick.
   void route_changed_jobs();
 
+  // Returns whether this process leads.
   bool is_leading() const { return election_.is_leading(); }
-  // No leader has been heard for a while: owners of partitions go on by themselves.
+  // Returns whether there is no reachable leader. Partition owners then place work without one.
   bool is_leader_unreachable() const { return election_.is_leader_unreachable(); }
-  // The term in which this process leads; 0 while it does not.
+  // Returns the term in which this process leads; 0 if it does not lead.
   uint64_t term() const { return election_.term(); }
 
  private:
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -58,7 +58,7 @@
   status.publisher = owner;
   status.name = name;
   status.up = status.up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
-  // The owner cannot be asked to drain it and could not say that it is empty.
+  // The unreachable owner cannot be asked to drain the machine and could not report it as empty.
   status.draining = false;
   status.silent = std::find(unreachable.begin(), unreachable.end(), name) != unreachable.end();
   status.cpus_free = status.up && !status.silent ? free.cpus : 0;
