--- a/src/rooksill/leader/capacity_view.h
+++ b/src/rooksill/leader/capacity_view.h
@@ -15,7 +15,7 @@
 namespace rooksill::leader {
 
 // The total capacity of a partition's machines that have the same type and zone and are either all
-// spot or all on-demand machines.
+// spot or all ordinary (non-spot) machines.
 struct MachinePool {
   const model::MachineType* type = nullptr;  // owned by the store replica
   std::string zone;
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -13,13 +13,17 @@
 namespace rooksill::leader {
 
 namespace {
-// In report periods.
-constexpr double kStartupWaitReports =
-    0.2;  // from this process's start until it leads without the others
-constexpr double kReturnSettleReports =
-    2;  // for which a returned controller is heard before it gets more
-constexpr double kSecondOpinionTrustReports = 20;  // for which the owner after a suspect one is believed
-// A partition moves only if that makes the numbers more even.
+// The following are in report intervals.
+
+// How long after its start this process waits for the other controllers before it assigns
+// partitions.
+constexpr double kStartupWaitReports = 0.2;
+// How long a returned controller must have been reachable before partitions are moved to it.
+constexpr double kReturnSettleReports = 2;
+// How long the reports of the owner that replaced a suspect one are trusted.
+constexpr double kSecondOpinionTrustReports = 20;
+
+// A partition is moved only if that makes the numbers per controller more even.
 constexpr int kMinRebalanceDifference = 2;
 }  // namespace
 
@@ -56,15 +60,15 @@
   rebalance(candidates);
 }
 
-// ---- who may own partitions
-// ----------------------------------------------------------------------
+// ---- Eligible owners
 
 PartitionAssigner::Candidates PartitionAssigner::find_candidates() {
   const auto labels = context_.settings.platform.labels();
   Candidates candidates;
   for (const auto& label : labels)
     if (check_eligibility(label)) candidates.labels.push_back(label);
-  // Where every controller sees silence it is the machines that are silent.
+  // If no controller is eligible, for example because all of them suspect themselves, the fault lies
+  // with the machines rather than the controllers: every live controller is a candidate.
   if (candidates.labels.empty())
     for (const auto& label : labels)
       if (is_self(label) || peers_.alive(label)) candidates.labels.push_back(label);
@@ -77,30 +81,30 @@
   const std::string reason = ineligibility_reason(label);
   std::string& last_reason = ineligibility_reasons_[label];
   if (last_reason != reason) {
-    context_.info("leader", "{} is {}", label,
-                  reason.empty() ? "fit to own partitions" : "not fit: " + reason);
+    context_.info("leader", "controller {} is {}", label,
+                  reason.empty() ? "eligible to own partitions" : "not eligible to own partitions: " + reason);
     last_reason = reason;
   }
   return reason.empty();
 }
 
-// Empty if the controller may own partitions.
+// Returns why the controller may not own partitions; empty if it may.
 std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
   if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
-  if (!peers_.alive(label)) return "it is not heard";
+  if (!peers_.alive(label)) return "it is unreachable";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
   if (!heartbeat.ready) return "its replica is not loaded";
   if (membership::Upgrade::runs_older_version(replica_, label, peer))
     return "it runs an older version";
-  if (!heartbeat.store_ok) return "the store does not answer it";
+  if (!heartbeat.store_ok) return "it cannot reach the store";
   if (heartbeat.suspects_itself) return "it suspects itself";
   return "";
 }
 
-// After a crash of all controllers the others are heard a moment later than the first of them
-// leads. Waiting for them costs less than giving one of them all the workers first and moving most
-// of them again.
+// After a crash of all controllers, the first one to become leader receives messages from the others
+// a moment later. Waiting for them is cheaper than assigning all workers to one controller and then
+// moving most of them again.
 bool PartitionAssigner::should_wait_for_peers() const {
   const double since_start_s = context_.now.steady - election_.first_tick_at();
   if (since_start_s >= kStartupWaitReports * context_.settings.platform.report_s) return false;
@@ -111,8 +115,7 @@
   });
 }
 
-// ---- leases
-// ----------------------------------------------------------------------------------------
+// ---- Leases
 
 void PartitionAssigner::replace_owners(Candidates& candidates) {
   if (should_wait_for_peers()) return;
@@ -124,12 +127,13 @@
     const std::string new_owner = candidates.least_loaded();
     ++candidates.partition_counts[new_owner];
     if (suspects_itself(current.owner)) reassigned_from_suspect_at_[partition] = context_.now.steady;
-    write_lease(partition, new_owner, current.owner.empty() ? "first lease" : "its owner is not fit");
+    write_lease(partition, new_owner, current.owner.empty() ? "first lease" : "its owner is not eligible");
   }
 }
 
-// A controller that has been back for a while gets a partition of the one with the most: its home
-// partition if that is among them. Not only its home: after several crashes each may own another's.
+// Moves a partition from the most loaded controller to one that has been reachable for the settle
+// time, preferably the receiver's home partition. Other partitions move as well, because after
+// several crashes each controller may own another's home partition.
 void PartitionAssigner::rebalance(const Candidates& candidates) {
   const double settle_s = kReturnSettleReports * context_.settings.platform.report_s;
   const std::map<std::string, int>& counts = candidates.partition_counts;
@@ -143,10 +147,11 @@
   }
   if (receiver.empty() || counts.at(most_loaded) < counts.at(receiver) + kMinRebalanceDifference || !in_flight_.empty()) return;
   const int partition = choose_partition_to_move(most_loaded, receiver);
-  if (partition >= 0) write_lease(partition, receiver, "it owns fewer");
+  if (partition >= 0) write_lease(partition, receiver, "the new owner has fewer partitions");
 }
 
-// The first partition of `from`, or the first whose home is `to` if there is one; -1: none.
+// Returns the first partition of `from` whose home is `to`, otherwise the first partition of `from`;
+// -1 if it has none.
 int PartitionAssigner::choose_partition_to_move(const std::string& from, const std::string& to) const {
   const auto labels = context_.settings.platform.labels();
   int first = -1;
@@ -187,11 +192,11 @@
       });
   if (!sent) return;
   in_flight_.insert(partition);
-  context_.info("leader", "partition {} leased to {} with token {} ({})", partition, label,
+  context_.info("leader", "partition {} leased to {} with fencing token {}: {}", partition, label,
                 model::number(next.fencing_token), reason);
 }
 
-// ---- what owners say ---------------------------------------------------------------------------
+// ---- Owners' reports
 
 std::set<int> PartitionAssigner::suspect_partitions() const {
   std::set<int> suspect;
@@ -235,7 +240,7 @@
   return peer != nullptr && peer->heartbeat.suspects_itself;
 }
 
-// 0: no process of that controller is known.
+// Returns 0 if no process of the controller is known.
 uint64_t PartitionAssigner::incarnation_of(const std::string& label) const {
   if (is_self(label)) return context_.incarnation;
   const membership::Peer* peer = peers_.find(label);
--- a/src/rooksill/leader/partition_assigner.h
+++ b/src/rooksill/leader/partition_assigner.h
@@ -1,4 +1,4 @@
-// Which controller owns which partition.
+// Assigns the ownership of partitions to controllers.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 
 namespace rooksill::leader {
 
-// Leases each partition to a controller that can serve it and keeps the number of partitions per
-// controller even. Each lease carries a fencing token above those of all earlier ones, and is
-// written only while this process has the leader's key. Also says what the owners' reports of
-// silent machines are worth, since that depends on who owns what. Times are seconds of the steady
+// Leases each partition to an eligible controller and keeps the number of partitions per controller
+// even. Each lease has a fencing token greater than all earlier ones and is written only while this
+// process holds the leader key. Also decides which owners' reports of unreachable machines can be
+// trusted, because that depends on the ownership of partitions. Times are seconds of the steady
 // clock.
 class PartitionAssigner {
  public:
@@ -28,22 +28,28 @@
                     store::Committer& committer, const membership::Peers& peers,
                     const partition::PartitionOwner& owner, const Election& election);
 
+  // Resets the state at the start of a term.
   void start_term();
-  // Replaces owners that cannot serve; otherwise moves at most one partition for balance.
+  // Replaces ineligible owners, then moves at most one partition to even out the numbers per
+  // controller. Moves none while leases are in flight.
   void assign();
 
-  // Partitions whose owner saw nearly all machines fall silent at once. That may be the owner's own
-  // trouble, so its word on silent machines does not count. The next owner's word does.
+  // Returns the partitions whose owner's reports of unreachable machines are not trusted: the owner
+  // suspects itself, since nearly all of its machines became unreachable at once, which may be a
+  // fault of its own, or the owner is unreachable. Reports of the owner that replaces a suspect one
+  // are trusted.
   std::set<int> suspect_partitions() const;
-  // Zones that owners find cut off. An owner inside such a zone sees it otherwise.
+  // Returns the zones that partition owners report as unreachable, by partition, and those that are
+  // unreachable to most owners. An owner inside an isolated zone can still reach it.
   fleet::UnreachableZones unreachable_zones() const;
 
  private:
   struct Candidates {
-    std::vector<std::string> labels;   // controllers that may own partitions
-    std::map<std::string, int> partition_counts;  // partitions by controller
+    std::vector<std::string> labels;              // controllers that may own partitions
+    std::map<std::string, int> partition_counts;  // partitions owned, by controller
+    // Returns whether the controller is a candidate.
     bool contains(const std::string& label) const;
-    // The one with the fewest partitions; the first of them among equals.
+    // Returns the candidate with the fewest partitions; the first of them if several are equal.
     const std::string& least_loaded() const;
   };
 
@@ -69,9 +75,9 @@
   const partition::PartitionOwner& owner_;
   const Election& election_;
 
-  std::set<int> in_flight_;  // partitions whose lease was sent, or is being read back
-  std::map<std::string, std::string> ineligibility_reasons_;  // controller -> why it may own no partitions
-  // When each partition was last taken from an owner that suspected itself.
+  std::set<int> in_flight_;  // partitions with a pending lease transaction or read-back
+  std::map<std::string, std::string> ineligibility_reasons_;  // by controller; empty: eligible
+  // When each partition was last reassigned from an owner that suspected itself.
   std::map<int, double> reassigned_from_suspect_at_;
 };
 
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -13,24 +13,24 @@
 
 namespace {
 
-// The score's weights, per task if nothing else is said. Room for all tasks at once counts most,
-// then images that need not be fetched, then work that can be preempted.
+// Weights of the score, per task unless stated otherwise. Free capacity for all tasks at once counts
+// most, then cached images that need not be pulled, then tasks that can be preempted.
 constexpr double kCapacityWeight = 10;
 constexpr double kImageWeight = 5;
 constexpr double kPreemptionWeight = 2;
-constexpr double kRelatedTaskWeight = 0.5;  // for a task of the job that is placed there already
-constexpr double kSpareCapacityWeight = 0.01;   // for room beyond what is needed
-constexpr double kMaxSpareTasks = 100;       // tasks
+constexpr double kRelatedTaskWeight = 0.5;  // for a task of the same job that is placed there
+constexpr double kSpareCapacityWeight = 0.01;   // for capacity beyond the need
+constexpr double kMaxSpareTasks = 100;
 constexpr double kTieBreakerWeight = 0.001;
 constexpr double kFailedGangDivisor = 2;
 constexpr double kInfeasibleScore = -1;
-// Ordinary machines are worth less to work that may run on spot machines.
+// Ordinary machines count for less for jobs that may run on spot machines.
 constexpr double kOrdinaryForSpotRatio = 0.3;
 
 bool depends_on_zones(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
 
-// How many of the wanted tasks fit into a pool of which so many CPUs may be used, weighted by how
-// suitable its machines are.
+// Returns how many tasks, up to `max_tasks`, fit into the pool if `cpus` of its CPUs may be used,
+// weighted by the suitability of its machines.
 double tasks_in_pool(const model::JobSpec& spec, const MachinePool& pool, double max_tasks,
                      double cpus) {
   double tasks = max_tasks;
@@ -119,7 +119,8 @@
   return capacity;
 }
 
-// Also says how many tasks the partition has room for, and how many of them its quota share takes.
+// Also sets `fit`: how many tasks the partition has capacity for, and how many of them are within
+// its quota share.
 double PartitionChooser::score(int partition, const Demand& demand, PartitionCapacity capacity, bool has_failed_before,
                                quota::PartitionFit& fit) {
   const model::JobSpec& spec = *demand.spec;
@@ -127,14 +128,14 @@
   double score = 0;
   auto related = demand.placed_by_partition.find(partition);
   if (related != demand.placed_by_partition.end()) score = related->second;
-  // A gang needs room for all of its tasks at once: of partitions with less, the one that comes
-  // nearest is the best.
+  // A gang needs capacity for all of its tasks at once. Among partitions with less, the one with the
+  // most is preferred.
   if (spec.shape == model::Shape::kGang && capacity.tasks < spec.tasks) {
     score += capacity.tasks;
     capacity.tasks = capacity.with_image = 0;
   }
   fit.room = capacity.tasks;
-  // A partition without a share for this team cannot take the job, whatever its room.
+  // A partition whose quota share is smaller than one task cannot run the job, whatever its capacity.
   if (quota::quota_share(context_.settings, replica_, spec.team, partition).cpus <
       spec.request.cpus)
     return kInfeasibleScore;
@@ -142,20 +143,20 @@
   fit.within_share = std::min(capacity.tasks, quota_left);
   const double tasks = fit.within_share;
   const double with_image = std::min(capacity.with_image, quota_left);
-  // Where there is no room, work goes to where preemption can make it.
+  // Tasks that exceed the free capacity go where preemption can free enough.
   const double unplaced = std::max(0.0, std::min(needed, quota_left) - tasks);
   if (spec.request.cpus > 0)
     score += kPreemptionWeight *
              std::min(unplaced, std::floor(capacity.preemptible_cpus / spec.request.cpus));
   score += kCapacityWeight * std::min(tasks, needed) + kImageWeight * std::min(with_image, needed) +
            kSpareCapacityWeight * std::min(tasks, kMaxSpareTasks);
-  // Sums over machines overstate the room for a whole gang: where it found none, another partition
-  // that seems to have room is tried.
+  // Sums over machines overstate the capacity for a whole gang. If it found none in this partition,
+  // another one with apparently enough capacity is preferred.
   if (has_failed_before) score /= kFailedGangDivisor;
   return score + tie_breaker(static_cast<size_t>(partition), demand);
 }
 
-// Spreads jobs evenly over partitions that are equally good.
+// Spreads jobs evenly over partitions with equal scores.
 double PartitionChooser::tie_breaker(size_t partition, const Demand& demand) const {
   const size_t rank = std::hash<std::string>{}(demand.spec->id) + demand.shard + partition;
   return kTieBreakerWeight * static_cast<double>(rank % replica_.leases.size());
--- a/src/rooksill/leader/partition_chooser.h
+++ b/src/rooksill/leader/partition_chooser.h
@@ -1,4 +1,4 @@
-// Chooses the partition that a shard of a job is routed to.
+// Choice of the partition to which a shard of a job is routed.
 #pragma once
 
 #include <cstdint>
@@ -16,42 +16,46 @@
 
 namespace rooksill::leader {
 
-// Owns the leader's view of free capacity and of what is left of each team's quota. A choice takes
-// three steps: how many of the shard's tasks each partition could take, a score for each, and the
-// deduction of what the best one will use. Where a quota's division keeps work from room that there
-// is, that is noted for a transfer of quota.
+// Scores partitions by the leader's estimates of free capacity and of each team's remaining quota
+// shares. A choice has three steps: compute how many of the shard's tasks each partition could run,
+// score each partition, and deduct the capacity and quota that the tasks will use in the best one.
+// If a team's quota shares prevent the use of free capacity, the shortage is recorded for a quota
+// transfer.
 class PartitionChooser {
  public:
   PartitionChooser(runtime::Context& context, const store::Replica& replica)
       : context_(context), replica_(replica), capacity_(replica), quotas_(context, replica) {}
 
-  // Starts again from what owners report.
+  // Discards all deductions and starts again from the machine statuses and quota use that partition
+  // owners report.
   void refresh(const wire::MachineStatusMap& statuses, const std::vector<wire::QuotaUse>& use);
 
-  // `failed`: the partition where a gang found no room.
+  // Returns the partition for the unplaced tasks of a shard, and deducts what they will use there.
+  // `failed_partition`: the partition in which a gang last found no capacity.
   int choose(const model::Job& job, uint32_t shard, std::optional<int> failed_partition);
 
-  // Transfers of quota to ask for now; `can_give` says by partition whose owner can be asked.
+  // Returns the quota transfers to request now. `is_owner_reachable`: by partition, whether its owner
+  // can be asked for a transfer.
   std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& is_owner_reachable) {
     return quotas_.decide_transfers(is_owner_reachable);
   }
 
  private:
-  // What is to be placed, and what binds it.
+  // The tasks of a shard to be placed, and their constraints.
   struct Demand {
     const model::JobSpec* spec = nullptr;
     uint32_t shard = 0;
-    double tasks = 0;  // that are on no machine
+    double tasks = 0;  // unplaced tasks
     MachineFilter filter;
-    // Of the job's placed tasks, if it is bound to one zone or spread over zones.
+    // The job's placed tasks; empty unless the job is bound to one zone or spread over zones.
     std::map<std::string, uint32_t> placed_by_zone;
-    std::map<int, double> placed_by_partition;
+    std::map<int, double> placed_by_partition;  // weighted for the score
   };
-  // What a partition could take of it, in tasks.
+  // How much of a demand a partition could run.
   struct PartitionCapacity {
-    double tasks = 0;
-    double with_image = 0;        // on machines that have the image
-    double preemptible_cpus = 0;  // in use by work of a lower priority
+    double tasks = 0;             // on free capacity
+    double with_image = 0;        // tasks on machines that have the image
+    double preemptible_cpus = 0;  // used by tasks of a lower priority
   };
 
   Demand demand_of(const model::Job& job, uint32_t shard) const;
@@ -62,7 +66,7 @@
 
   runtime::Context& context_;
   const store::Replica& replica_;
-  CapacityView capacity_;
+  CapacityView capacity_;        // less what was routed since the last refresh
   quota::QuotaBalancer quotas_;
 };
 
--- a/src/rooksill/leader/pending_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Report periods that a shard has to wait before it counts as lacking room.
+// A shard counts as lacking capacity once it has been pending for a report interval divided by this.
 constexpr double kMinPendingTimesPerReport = 6;
 
 bool precedes(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
--- a/src/rooksill/leader/pending_work.h
+++ b/src/rooksill/leader/pending_work.h
@@ -1,4 +1,4 @@
-// Work that waits because no machine has room for it, summed up for the fleet.
+// Pending work for which no machine has capacity, summarized for the fleet.
 #pragma once
 
 #include <map>
@@ -12,24 +12,25 @@
 
 namespace rooksill::leader {
 
-// Remembers since when each shard has had unplaced tasks, by the steady clock. A shard that came
-// just now is still being placed: only what has waited for a while counts as lacking room.
+// Tracks since when each shard has had unplaced tasks. A shard that has just arrived is still being
+// placed, so only tasks that have been pending for a minimum time count as lacking capacity.
 class PendingWork {
  public:
   PendingWork(runtime::Context& context, const store::Replica& replica,
               const partition::PartitionOwner& owner)
       : context_(context), replica_(replica), owner_(owner) {}
 
+  // Resets the state at the start of a term.
   void start_term() { pending_since_.clear(); }
-  // The jobs with waiting tasks, highest priority first, then in order of submission. Jobs that are
-  // backing off after failures are left out.
+  // Returns the jobs whose tasks lack capacity, with their number of such tasks, by descending
+  // priority and then by submission time. Jobs that are backing off after failures are excluded.
   std::vector<fleet::WaitingTasks> collect();
 
  private:
   runtime::Context& context_;
   const store::Replica& replica_;
   const partition::PartitionOwner& owner_;
-  std::map<model::ShardId, double> pending_since_;
+  std::map<model::ShardId, double> pending_since_;  // seconds of the steady clock
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -10,12 +10,13 @@
 namespace rooksill::leader {
 
 namespace {
-// How long a shard waits with a partition before another is tried, in report periods.
+// How long a shard stays with a partition before a partition is chosen again, in report intervals.
 constexpr double kRetryReports = 1;
 constexpr double kGangRetryReports = 0.25;
 constexpr double kRefreshesPerReport = 10;
 constexpr double kFullSendsPerReport = 6;
-// Each turn looks at so many waiting jobs, or at such a part of them if that is more.
+// Each turn routes at least kMinJobsPerTurn pending jobs, and enough of them to cycle through all
+// pending jobs in kTurnsPerFullCycle turns.
 constexpr size_t kMinJobsPerTurn = 20;
 constexpr size_t kTurnsPerFullCycle = 10;
 }  // namespace
@@ -42,7 +43,7 @@
   chooser_.refresh(statuses, reported_quota_use());
 }
 
-// What teams use of their quotas, as far as owners can be heard.
+// Returns the quota use reported by reachable partition owners.
 std::vector<wire::QuotaUse> Router::reported_quota_use() const {
   std::vector<wire::QuotaUse> use = owner_.quota_use();
   for (const auto& label : peers_.labels()) {
@@ -62,8 +63,7 @@
   return replica_.leases[static_cast<size_t>(partition)].owner;
 }
 
-// ---- routes
-// ----------------------------------------------------------------------------------------
+// ---- Routes
 
 void Router::route_changed_jobs() {
   for (const auto& id : replica_.changes.touched_jobs)
@@ -85,9 +85,10 @@
   send_routes();
 }
 
-// Owners that hear no leader place what falls to them by the fallback rule; while there are such
-// owners, the leader routes by it as well, so that no two owners place the same shard.
-bool Router::is_unreachable_for_some_owner() const {
+// A partition owner that this process cannot reach may have no reachable leader and then places
+// shards by the fallback rule. While there are such owners, the leader routes by the same rule, so
+// that no two owners place the same shard.
+bool Router::has_unreachable_owner() const {
   return std::any_of(replica_.leases.begin(), replica_.leases.end(), [&](const auto& lease) {
     return !lease.owner.empty() && lease.owner != context_.settings.platform.label &&
            !peers_.heard(lease.owner);
@@ -95,7 +96,7 @@
 }
 
 void Router::route(const std::set<std::string>& jobs) {
-  const bool uses_fallback = is_unreachable_for_some_owner();
+  const bool uses_fallback = has_unreachable_owner();
   for (const auto& id : jobs) {
     const model::Job* job = replica_.job(id);
     if (job == nullptr || replica_.waiting_jobs.count(id) == 0) continue;
@@ -137,8 +138,7 @@
   return chooser_.choose(job, index, failed);
 }
 
-// ---- messages
-// --------------------------------------------------------------------------------------
+// ---- Messages
 
 void Router::send_routes() {
   const double now = context_.now.steady;
--- a/src/rooksill/leader/router.h
+++ b/src/rooksill/leader/router.h
@@ -1,4 +1,4 @@
-// Routes shards of jobs to the partitions that place them, and tells the partitions' owners.
+// Routing of job shards to the partitions that place their tasks.
 #pragma once
 
 #include <cstdint>
@@ -19,44 +19,45 @@
 
 namespace rooksill::leader {
 
-// Owns the routes of this term: shard -> partition. A shard stays with a partition for a while;
-// what has found no room there by then is routed anew. Owners are sent new routes at once and all
-// routes from time to time, so that what was lost on the way is made good. The same messages carry
-// the fleet's wishes: machines to drain, tasks to move, transfers of quota. Used only while this
-// process leads. Times are seconds of the steady clock.
+// Keeps the routes of this term, from shard to partition. A shard stays with a partition for a retry
+// interval; if it still has unplaced tasks then, a partition is chosen again. Partition owners
+// receive new routes immediately and all routes periodically, which makes up for lost messages. The
+// same messages carry the machines to drain, the tasks to move and the quota transfers. Used only
+// while this process leads. Times are seconds of the steady clock.
 class Router {
  public:
   Router(runtime::Context& context, const store::Replica& replica, membership::Peers& peers,
          partition::PartitionOwner& owner, fleet::Fleet& fleet);
 
+  // Resets the state at the start of a term.
   void start_term(uint64_t term);
-  // Takes up what owners report of room and quota use, every so often.
+  // Updates the estimates of capacity and quota use from the owners' reports, if that is due.
   void refresh(const wire::MachineStatusMap& statuses);
-  // Routes the jobs that the last batch of changes touched.
+  // Routes the pending jobs affected by the last batch of store changes, and sends the new routes.
   void route_changed_jobs();
-  // Looks again at some of the jobs that found no room, in turn.
+  // Routes the next batch of pending jobs, cycling through all of them, and sends the routes.
   void retry_pending_jobs();
 
  private:
   struct Route {
     int partition = 0;
-    double assigned_at = 0;
+    double assigned_at = 0;  // or when the partition was last confirmed
   };
   // How the shards of one job are routed.
   struct JobRouting {
     const model::Job* job = nullptr;
-    bool uses_fallback = false;  // by some owner
-    double retry_interval_s = 0;        // that a shard stays with a partition
-    // Where all of the job's shards go, once the first of them has been routed, if its tasks depend
-    // on each other's places: one partition at a time decides for such a job.
+    bool uses_fallback = false;   // routed by the fallback rule
+    double retry_interval_s = 0;  // how long a shard stays with a partition
+    // The partition of all of the job's shards, set once the first of them is routed, if the
+    // placements of its tasks depend on each other. Only one partition at a time places such a job.
     std::optional<int> common_partition;
   };
-  using Messages = std::map<std::string, wire::RoutingUpdate>;  // by controller
+  using Messages = std::map<std::string, wire::RoutingUpdate>;  // by controller label
 
   void route(const std::set<std::string>& jobs);
   void route_shard(JobRouting& routing, uint32_t index);
   int choose_partition(const JobRouting& routing, uint32_t index, const Route* current);
-  bool is_unreachable_for_some_owner() const;
+  bool has_unreachable_owner() const;
   std::vector<wire::QuotaUse> reported_quota_use() const;
   bool is_owned_by(int partition, const std::string& label) const;
 
@@ -78,9 +79,9 @@
 
   uint64_t term_ = 0;
   std::map<model::ShardId, Route> routes_;
-  std::map<int, std::vector<wire::ShardRoute>> unsent_routes_;  // not sent yet, by partition
-  std::set<std::string> changed_jobs_;                         // not routed yet
-  std::string last_retried_job_;                                 // the last job of the turn before
+  std::map<int, std::vector<wire::ShardRoute>> unsent_routes_;  // by partition
+  std::set<std::string> changed_jobs_;                         // not yet routed
+  std::string last_retried_job_;                                 // the last job of the previous batch
   double next_refresh_at_ = 0;
   double next_full_send_at_ = 0;
 };
