--- a/src/rooksill/leader/capacity_view.cc
+++ b/src/rooksill/leader/capacity_view.cc
@@ -74,7 +74,8 @@
   for (MachinePool& pool : pools) {
     if (tasks <= 0) break;
     if (!filter.allows(pool) || cpus <= 0) continue;
-    const double fitting = std::min(tasks, std::max(0.0, std::floor(pool.free_capacity.cpus / cpus)));
+    const double fitting =
+        std::min(tasks, std::max(0.0, std::floor(pool.free_capacity.cpus / cpus)));
     pool.free_capacity -= spec.request * fitting;
     tasks -= fitting;
   }
--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -45,8 +45,8 @@
 }
 
 bool Election::is_leading() const {
-  return state_ == State::kLeading && context_.now.steady < lease_valid_until_ && leader_key_is_ours() &&
-         replica_.synced_revision >= replica_.leader.revision;
+  return state_ == State::kLeading && context_.now.steady < lease_valid_until_ &&
+         leader_key_is_ours() && replica_.synced_revision >= replica_.leader.revision;
 }
 
 bool Election::is_leader_unreachable() const {
@@ -64,11 +64,13 @@
 
 void Election::maintain_leadership() {
   const double now = context_.now.steady;
-  if (now >= lease_valid_until_ || !leader_key_is_ours()) return resign("its lease expired or another process holds the leader key");
+  if (now >= lease_valid_until_ || !leader_key_is_ours())
+    return resign("its lease expired or another process holds the leader key");
   if (peers_.last_heard_any() > term_started_at_) has_received_from_peer_ = true;
   // A leader that receives no messages may be isolated from the other controllers while its lease
   // is still valid, and the others cannot detect that.
-  if (has_received_from_peer_ && now - peers_.last_heard_any() > kIsolationPeerTimeouts * peers_.silence()) {
+  if (has_received_from_peer_ &&
+      now - peers_.last_heard_any() > kIsolationPeerTimeouts * peers_.silence()) {
     has_received_from_peer_ = false;
     return resign("all other controllers are unreachable");
   }
@@ -81,9 +83,9 @@
   const bool has_leader = replica_.leader.revision != model::kNoRevision;
   // An earlier process of this controller is known to have ended, so its key may be replaced before
   // its lease expires. The key of any other controller may not.
-  const bool is_key_of_earlier_process = has_leader &&
-                            replica_.leader.label == context_.settings.platform.label &&
-                            replica_.leader.incarnation != context_.incarnation;
+  const bool is_key_of_earlier_process =
+      has_leader && replica_.leader.label == context_.settings.platform.label &&
+      replica_.leader.incarnation != context_.incarnation;
   if (has_leader && !is_key_of_earlier_process) {
     vacant_since_ = 0;
     return;
@@ -102,9 +104,10 @@
 
 void Election::campaign() {
   const LeaseRequest request{context_.now.steady, lease_ttl()};
-  const int ttl_ms = static_cast<int>(std::clamp(request.ttl_s * 1000, kMinLeaseTtlMs, kMaxLeaseTtlMs));
+  const int ttl_ms =
+      static_cast<int>(std::clamp(request.ttl_s * 1000, kMinLeaseTtlMs, kMaxLeaseTtlMs));
   next_campaign_at_ = request.sent_at + request.ttl_s / kCampaignsPerTtl +
-                   context_.uniform(0, request.ttl_s / kCampaignJitterPerTtl);
+                      context_.uniform(0, request.ttl_s / kCampaignJitterPerTtl);
   const bool sent = client_.request(
       "POST", wire::kLeasesPath, wire::encode_lease_request(ttl_ms), kRequestTimeoutSeconds,
       [this, request](const runtime::CallDone& response) { on_lease_granted(response, request); });
@@ -115,7 +118,7 @@
   const auto lease_id = wire::decode_new_lease(response.body);
   const bool is_granted = response.status == 200 && lease_id;
   const bool has_other_leader = replica_.leader.revision != model::kNoRevision &&
-                           replica_.leader.label != context_.settings.platform.label;
+                                replica_.leader.label != context_.settings.platform.label;
   if (!is_granted || has_other_leader) {
     state_ = State::kFollower;
     return;
--- a/src/rooksill/leader/election.h
+++ b/src/rooksill/leader/election.h
@@ -64,7 +64,8 @@
   void write_leader_key(uint64_t lease_id, const LeaseRequest& request);
   void start_term(uint64_t term, uint64_t lease_id, const LeaseRequest& request);
   void renew();
-  void on_renewed(const runtime::CallDone& response, const LeaseRequest& request, uint64_t lease_id);
+  void on_renewed(const runtime::CallDone& response, const LeaseRequest& request,
+                  uint64_t lease_id);
   void resign(const std::string& reason);
   void release_lease(uint64_t lease_id);
 
--- a/src/rooksill/leader/job_finisher.h
+++ b/src/rooksill/leader/job_finisher.h
@@ -10,8 +10,8 @@
 namespace rooksill::leader {
 
 // Usually the partition owner whose transaction completes a job's last task also records that the
-// job is done. If two owners complete the last tasks of a job concurrently, neither sees the other's
-// transaction, and the leader records the completion.
+// job is done. If two owners complete the last tasks of a job concurrently, neither sees the
+// other's transaction, and the leader records the completion.
 class JobFinisher {
  public:
   JobFinisher(const store::Replica& replica, store::Committer& committer)
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -67,13 +67,14 @@
   Candidates candidates;
   for (const auto& label : labels)
     if (check_eligibility(label)) candidates.labels.push_back(label);
-  // If no controller is eligible, for example because all of them suspect themselves, the fault lies
-  // with the machines rather than the controllers: every live controller is a candidate.
+  // If no controller is eligible, for example because all of them suspect themselves, the fault
+  // lies with the machines rather than the controllers: every live controller is a candidate.
   if (candidates.labels.empty())
     for (const auto& label : labels)
       if (is_self(label) || peers_.alive(label)) candidates.labels.push_back(label);
   for (const auto& label : candidates.labels) candidates.partition_counts[label] = 0;
-  for (const auto& partition_lease : replica_.leases) ++candidates.partition_counts[partition_lease.owner];
+  for (const auto& partition_lease : replica_.leases)
+    ++candidates.partition_counts[partition_lease.owner];
   return candidates;
 }
 
@@ -82,7 +83,8 @@
   std::string& last_reason = ineligibility_reasons_[label];
   if (last_reason != reason) {
     context_.info("leader", "controller {} is {}", label,
-                  reason.empty() ? "eligible to own partitions" : "not eligible to own partitions: " + reason);
+                  reason.empty() ? "eligible to own partitions"
+                                 : "not eligible to own partitions: " + reason);
     last_reason = reason;
   }
   return reason.empty();
@@ -91,7 +93,7 @@
 // Returns why the controller may not own partitions; empty if it may.
 std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
   if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
-  if (!peers_.alive(label)) return "it is unreachable";
+  if (!peers_.alive(label)) return "it is not alive";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
   if (!heartbeat.ready) return "its replica is not loaded";
@@ -102,9 +104,9 @@
   return "";
 }
 
-// After a crash of all controllers, the first one to become leader receives messages from the others
-// a moment later. Waiting for them is cheaper than assigning all workers to one controller and then
-// moving most of them again.
+// After a crash of all controllers, the first one to become leader receives messages from the
+// others a moment later. Waiting for them is cheaper than assigning all workers to one controller
+// and then moving most of them again.
 bool PartitionAssigner::should_wait_for_peers() const {
   const double since_start_s = context_.now.steady - election_.first_tick_at();
   if (since_start_s >= kStartupWaitReports * context_.settings.platform.report_s) return false;
@@ -126,8 +128,10 @@
     const int partition = static_cast<int>(i);
     const std::string new_owner = candidates.least_loaded();
     ++candidates.partition_counts[new_owner];
-    if (suspects_itself(current.owner)) reassigned_from_suspect_at_[partition] = context_.now.steady;
-    write_lease(partition, new_owner, current.owner.empty() ? "first lease" : "its owner is not eligible");
+    if (suspects_itself(current.owner))
+      reassigned_from_suspect_at_[partition] = context_.now.steady;
+    write_lease(partition, new_owner,
+                current.owner.empty() ? "first lease" : "its owner is not eligible");
   }
 }
 
@@ -140,19 +144,24 @@
   std::string most_loaded = candidates.labels.front(), receiver;
   for (const auto& label : candidates.labels) {
     const membership::Peer* peer = peers_.find(label);
-    const double reachable_since = peer != nullptr ? peer->first_heard : election_.term_started_at();
+    const double reachable_since =
+        peer != nullptr ? peer->first_heard : election_.term_started_at();
     if (counts.at(label) > counts.at(most_loaded)) most_loaded = label;
-    if (context_.now.steady - reachable_since > settle_s && (receiver.empty() || counts.at(label) < counts.at(receiver)))
+    if (context_.now.steady - reachable_since > settle_s &&
+        (receiver.empty() || counts.at(label) < counts.at(receiver)))
       receiver = label;
   }
-  if (receiver.empty() || counts.at(most_loaded) < counts.at(receiver) + kMinRebalanceDifference || !in_flight_.empty()) return;
+  if (receiver.empty() || counts.at(most_loaded) < counts.at(receiver) + kMinRebalanceDifference ||
+      !in_flight_.empty())
+    return;
   const int partition = choose_partition_to_move(most_loaded, receiver);
   if (partition >= 0) write_lease(partition, receiver, "the new owner has fewer partitions");
 }
 
-// Returns the first partition of `from` whose home is `to`, otherwise the first partition of `from`;
-// -1 if it has none.
-int PartitionAssigner::choose_partition_to_move(const std::string& from, const std::string& to) const {
+// Returns the first partition of `from` whose home is `to`, otherwise the first partition of
+// `from`; -1 if it has none.
+int PartitionAssigner::choose_partition_to_move(const std::string& from,
+                                                const std::string& to) const {
   const auto labels = context_.settings.platform.labels();
   int first = -1;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
@@ -174,7 +183,8 @@
   return next;
 }
 
-void PartitionAssigner::write_lease(int partition, const std::string& label, const std::string& reason) {
+void PartitionAssigner::write_lease(int partition, const std::string& label,
+                                    const std::string& reason) {
   if (in_flight_.count(partition) != 0) return;
   const model::PartitionLease next = next_lease(label);
   const std::string key = wire::lease_key(partition);
@@ -184,7 +194,7 @@
       {{key, wire::encode_lease(next), 0}},
       [this, partition, key](const store::TransactionResult& result) {
         const bool needs_read_back = result.outcome == store::TransactionOutcome::kConflict ||
-                               result.outcome == store::TransactionOutcome::kUnknown;
+                                     result.outcome == store::TransactionOutcome::kUnknown;
         if (needs_read_back)
           committer_.refresh({key}, [this, partition] { in_flight_.erase(partition); });
         else
@@ -206,8 +216,8 @@
     const int partition = static_cast<int>(i);
     const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
     auto reassigned = reassigned_from_suspect_at_.find(partition);
-    const bool has_second_opinion =
-        reassigned != reassigned_from_suspect_at_.end() && context_.now.steady - reassigned->second < trust_s;
+    const bool has_second_opinion = reassigned != reassigned_from_suspect_at_.end() &&
+                                    context_.now.steady - reassigned->second < trust_s;
     if (is_doubtful && !has_second_opinion) suspect.insert(partition);
   }
   return suspect;
--- a/src/rooksill/leader/partition_assigner.h
+++ b/src/rooksill/leader/partition_assigner.h
@@ -36,7 +36,7 @@
 
   // Returns the partitions whose owner's reports of unreachable machines are not trusted: the owner
   // suspects itself, since nearly all of its machines became unreachable at once, which may be a
-  // fault of its own, or the owner is unreachable. Reports of the owner that replaces a suspect one
+  // fault of its own, or the owner is not alive. Reports of the owner that replaces a suspect one
   // are trusted.
   std::set<int> suspect_partitions() const;
   // Returns the zones that partition owners report as unreachable, by partition, and those that are
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Weights of the score, per task unless stated otherwise. Free capacity for all tasks at once counts
-// most, then cached images that need not be pulled, then tasks that can be preempted.
+// Weights of the score, per task unless stated otherwise. Free capacity for all tasks at once
+// counts most, then cached images that need not be pulled, then tasks that can be preempted.
 constexpr double kCapacityWeight = 10;
 constexpr double kImageWeight = 5;
 constexpr double kPreemptionWeight = 2;
-constexpr double kRelatedTaskWeight = 0.5;  // for a task of the same job that is placed there
-constexpr double kSpareCapacityWeight = 0.01;   // for capacity beyond the need
+constexpr double kRelatedTaskWeight = 0.5;     // for a task of the same job that is placed there
+constexpr double kSpareCapacityWeight = 0.01;  // for capacity beyond the need
 constexpr double kMaxSpareTasks = 100;
 constexpr double kTieBreakerWeight = 0.001;
 constexpr double kFailedGangDivisor = 2;
@@ -52,15 +52,16 @@
   quotas_.refresh(use);
 }
 
-int PartitionChooser::choose(const model::Job& job, uint32_t shard, std::optional<int> failed_partition) {
+int PartitionChooser::choose(const model::Job& job, uint32_t shard,
+                             std::optional<int> failed_partition) {
   const Demand demand = demand_of(job, shard);
   const auto& pools = capacity_.pools();
   std::vector<quota::PartitionFit> fits(pools.size());
   std::vector<double> scores;
   for (size_t i = 0; i < pools.size(); ++i) {
     const int partition = static_cast<int>(i);
-    scores.push_back(
-        score(partition, demand, capacity_in(pools[i], demand), failed_partition == partition, fits[i]));
+    scores.push_back(score(partition, demand, capacity_in(pools[i], demand),
+                           failed_partition == partition, fits[i]));
   }
   const auto best = std::max_element(scores.begin(), scores.end()) - scores.begin();
   const double within_share = fits[static_cast<size_t>(best)].within_share;
@@ -90,8 +91,8 @@
   return demand;
 }
 
-PartitionChooser::PartitionCapacity PartitionChooser::capacity_in(const std::vector<MachinePool>& pools,
-                                                 const Demand& demand) const {
+PartitionChooser::PartitionCapacity PartitionChooser::capacity_in(
+    const std::vector<MachinePool>& pools, const Demand& demand) const {
   const model::JobSpec& spec = *demand.spec;
   PartitionCapacity capacity;
   std::map<std::string, double> tasks_by_zone;
@@ -121,21 +122,22 @@
 
 // Also sets `fit`: how many tasks the partition has capacity for, and how many of them are within
 // its quota share.
-double PartitionChooser::score(int partition, const Demand& demand, PartitionCapacity capacity, bool has_failed_before,
-                               quota::PartitionFit& fit) {
+double PartitionChooser::score(int partition, const Demand& demand, PartitionCapacity capacity,
+                               bool has_failed_before, quota::PartitionFit& fit) {
   const model::JobSpec& spec = *demand.spec;
   const double needed = demand.tasks;
   double score = 0;
   auto related = demand.placed_by_partition.find(partition);
   if (related != demand.placed_by_partition.end()) score = related->second;
-  // A gang needs capacity for all of its tasks at once. Among partitions with less, the one with the
-  // most is preferred.
+  // A gang needs capacity for all of its tasks at once. Among partitions with less, the one with
+  // the most is preferred.
   if (spec.shape == model::Shape::kGang && capacity.tasks < spec.tasks) {
     score += capacity.tasks;
     capacity.tasks = capacity.with_image = 0;
   }
   fit.room = capacity.tasks;
-  // A partition whose quota share is smaller than one task cannot run the job, whatever its capacity.
+  // A partition whose quota share is smaller than one task cannot run the job, whatever its
+  // capacity.
   if (quota::quota_share(context_.settings, replica_, spec.team, partition).cpus <
       spec.request.cpus)
     return kInfeasibleScore;
--- a/src/rooksill/leader/partition_chooser.h
+++ b/src/rooksill/leader/partition_chooser.h
@@ -34,8 +34,8 @@
   // `failed_partition`: the partition in which a gang last found no capacity.
   int choose(const model::Job& job, uint32_t shard, std::optional<int> failed_partition);
 
-  // Returns the quota transfers to request now. `is_owner_reachable`: by partition, whether its owner
-  // can be asked for a transfer.
+  // Returns the quota transfers to request now. `is_owner_reachable`: by partition, whether its
+  // owner can be asked for a transfer.
   std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& is_owner_reachable) {
     return quotas_.decide_transfers(is_owner_reachable);
   }
@@ -60,13 +60,13 @@
 
   Demand demand_of(const model::Job& job, uint32_t shard) const;
   PartitionCapacity capacity_in(const std::vector<MachinePool>& pools, const Demand& demand) const;
-  double score(int partition, const Demand& demand, PartitionCapacity capacity, bool has_failed_before,
-               quota::PartitionFit& fit);
+  double score(int partition, const Demand& demand, PartitionCapacity capacity,
+               bool has_failed_before, quota::PartitionFit& fit);
   double tie_breaker(size_t partition, const Demand& demand) const;
 
   runtime::Context& context_;
   const store::Replica& replica_;
-  CapacityView capacity_;        // less what was routed since the last refresh
+  CapacityView capacity_;  // less what was routed since the last refresh
   quota::QuotaBalancer quotas_;
 };
 
--- a/src/rooksill/leader/pending_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// A shard counts as lacking capacity once it has been pending for a report interval divided by this.
+// A shard counts as lacking capacity once it has been pending for a report interval divided by
+// this.
 constexpr double kMinPendingTimesPerReport = 6;
 
 bool precedes(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -39,7 +39,8 @@
 
 void Router::refresh(const wire::MachineStatusMap& statuses) {
   if (context_.now.steady < next_refresh_at_) return;
-  next_refresh_at_ = context_.now.steady + context_.settings.platform.report_s / kRefreshesPerReport;
+  next_refresh_at_ =
+      context_.now.steady + context_.settings.platform.report_s / kRefreshesPerReport;
   chooser_.refresh(statuses, reported_quota_use());
 }
 
@@ -205,7 +206,8 @@
 
 void Router::send_messages(const Messages& messages, bool full) {
   for (const auto& [label, message] : messages) {
-    const bool is_empty = message.routes.empty() && message.moves.empty() && message.transfers.empty();
+    const bool is_empty =
+        message.routes.empty() && message.moves.empty() && message.transfers.empty();
     if (!full && is_empty) continue;
     if (label == context_.settings.platform.label)
       owner_.routes(message);
--- a/src/rooksill/leader/router.h
+++ b/src/rooksill/leader/router.h
@@ -19,11 +19,11 @@
 
 namespace rooksill::leader {
 
-// Keeps the routes of this term, from shard to partition. A shard stays with a partition for a retry
-// interval; if it still has unplaced tasks then, a partition is chosen again. Partition owners
-// receive new routes immediately and all routes periodically, which makes up for lost messages. The
-// same messages carry the machines to drain, the tasks to move and the quota transfers. Used only
-// while this process leads. Times are seconds of the steady clock.
+// Keeps the routes of this term, from shard to partition. A shard stays with a partition for a
+// retry interval; if it still has unplaced tasks then, a partition is chosen again. Partition
+// owners receive new routes immediately and all routes periodically, which makes up for lost
+// messages. The same messages carry the machines to drain, the tasks to move and the quota
+// transfers. Used only while this process leads. Times are seconds of the steady clock.
 class Router {
  public:
   Router(runtime::Context& context, const store::Replica& replica, membership::Peers& peers,
@@ -80,8 +80,8 @@
   uint64_t term_ = 0;
   std::map<model::ShardId, Route> routes_;
   std::map<int, std::vector<wire::ShardRoute>> unsent_routes_;  // by partition
-  std::set<std::string> changed_jobs_;                         // not yet routed
-  std::string last_retried_job_;                                 // the last job of the previous batch
+  std::set<std::string> changed_jobs_;                          // not yet routed
+  std::string last_retried_job_;  // the last job of the previous batch
   double next_refresh_at_ = 0;
   double next_full_send_at_ = 0;
 };
--- a/src/rooksill/policy/sizing.cc
+++ b/src/rooksill/policy/sizing.cc
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr int kTrapezoids = 8;
-// Steps of the backward pass' grid along x and y; with fewer machines each is a point of its own.
+// Maximum number of steps of the backward pass's grid along x and y. With at most this many
+// machines, every machine count is a grid point.
 constexpr int kGridSteps = 32;
-// A distribution is computed within so many standard deviations of its mean, and at least so many
-// values to each side: what lies further away has no weight.
+// A distribution is computed within kWindowDeviations standard deviations plus kMinWindowValues
+// values on each side of its mean; the probability outside that window is negligible.
 constexpr double kWindowDeviations = 6;
 constexpr double kMinWindowValues = 12;
-// μ below which tasks count as never finishing.
+// Tasks are treated as never finishing if μ is not greater than this.
 constexpr double kNegligibleServiceRate = 1e-9;
-// What y, a sum of shares, may exceed a whole number by without counting as another machine.
+// y is a sum of shares; it is rounded up only if it exceeds a whole number by more than this.
 constexpr double kBusyTolerance = 1e-9;
-// A decision has to be cheaper by more than that to replace an earlier one.
+// A decision replaces an earlier one only if it is cheaper by more than this.
 constexpr double kCostTolerance = 1e-12;
 
 struct Range {
@@ -27,10 +28,10 @@
   int high = 0;
 };
 
-// The part of a distribution around its mean; zero elsewhere.
+// The part of a distribution around its mean; all other probabilities count as zero.
 struct DistributionWindow {
   int low = 0;
-  std::vector<double> probabilities;  // of low, low + 1, ...
+  std::vector<double> probabilities;  // of the values low, low + 1, ...
 };
 
 Range range_around(double mean, double variance) {
@@ -39,17 +40,19 @@
           static_cast<int>(std::ceil(mean + reach))};
 }
 
-// (λ/μ)(1 − e^(−μs)), the mean of the tasks that arrived within s and are still running; λs where
-// none finishes.
+// Returns (λ/μ)(1 − e^(−μs)), the mean number of tasks that arrived within `duration` (s) and are
+// still running; λs if tasks never finish.
 double mean_running_arrivals(double duration, double service_rate, double arrival_rate) {
-  return service_rate > kNegligibleServiceRate ? arrival_rate / service_rate * (1 - std::exp(-service_rate * duration)) : arrival_rate * duration;
+  return service_rate > kNegligibleServiceRate
+             ? arrival_rate / service_rate * (1 - std::exp(-service_rate * duration))
+             : arrival_rate * duration;
 }
 
 DistributionWindow poisson(double mean) {
   const auto [low, high] = range_around(mean, mean);
   DistributionWindow window{low, {}};
   double probability = mean > 0 ? std::exp(low * std::log(mean) - mean - std::lgamma(low + 1.0))
-                      : (low == 0 ? 1.0 : 0.0);
+                                : (low == 0 ? 1.0 : 0.0);
   for (int count = low; count <= high; ++count) {
     window.probabilities.push_back(probability);
     probability *= mean / (count + 1);
@@ -60,47 +63,57 @@
 DistributionWindow binomial(int trials, double probability) {
   if (probability <= 0) return {0, {1}};
   if (probability >= 1) return {trials, {1}};
-  const auto [low, high] = range_around(trials * probability, trials * probability * (1 - probability));
+  const auto [low, high] =
+      range_around(trials * probability, trials * probability * (1 - probability));
   DistributionWindow window{std::min(low, trials), {}};
   for (int successes = window.low; successes <= std::min(high, trials); ++successes)
-    window.probabilities.push_back(std::exp(std::lgamma(trials + 1.0) - std::lgamma(successes + 1.0) -
-                             std::lgamma(trials - successes + 1.0) + successes * std::log(probability) +
-                             (trials - successes) * std::log1p(-probability)));
+    window.probabilities.push_back(
+        std::exp(std::lgamma(trials + 1.0) - std::lgamma(successes + 1.0) -
+                 std::lgamma(trials - successes + 1.0) + successes * std::log(probability) +
+                 (trials - successes) * std::log1p(-probability)));
   return window;
 }
 
-// P[W + Z = j] for j in [0, n): the tasks running after s. W (Poisson) arrived within s, Z
-// (binomial) are those of the y at the start that still run.
-std::vector<double> busy_distribution(double duration, int busy, int size, double service_rate, double arrival_rate) {
+// Returns P[W + Z = j] for j in [0, size), the distribution of the tasks that are running after
+// `duration`. W (Poisson) are those that arrived within it, Z (binomial) those of the `busy` tasks
+// at its start that are still running.
+std::vector<double> busy_distribution(double duration, int busy, int size, double service_rate,
+                                      double arrival_rate) {
   const double still_running = std::exp(-service_rate * duration);
-  const DistributionWindow new_tasks = poisson(mean_running_arrivals(duration, service_rate, arrival_rate));
+  const DistributionWindow new_tasks =
+      poisson(mean_running_arrivals(duration, service_rate, arrival_rate));
   const DistributionWindow old_tasks = binomial(busy, still_running);
   std::vector<double> probabilities(static_cast<size_t>(size));
   for (size_t k = 0; k < old_tasks.probabilities.size(); ++k)
     for (size_t j = 0; j < new_tasks.probabilities.size(); ++j) {
-      const size_t total = static_cast<size_t>(old_tasks.low) + k + static_cast<size_t>(new_tasks.low) + j;
+      const size_t total =
+          static_cast<size_t>(old_tasks.low) + k + static_cast<size_t>(new_tasks.low) + j;
       if (total >= probabilities.size()) break;
       probabilities[total] += old_tasks.probabilities[k] * new_tasks.probabilities[j];
     }
   return probabilities;
 }
 
-// E[v] for every rented count from 0 to `ceiling`, sharing the distributions.
-std::vector<double> unplanned_by_rented(double duration, int busy, int max_machines, double service_rate, double arrival_rate) {
+// Returns E[v] for every number of rented machines from 0 to `max_machines`. The distributions are
+// computed once for all of them.
+std::vector<double> unplanned_by_rented(double duration, int busy, int max_machines,
+                                        double service_rate, double arrival_rate) {
   std::vector<double> row(static_cast<size_t>(max_machines) + 1);
   for (int i = 0; i <= kTrapezoids; ++i) {
     const double weight = (i == 0 || i == kTrapezoids ? 0.5 : 1.0) * duration / kTrapezoids;
-    const auto distribution = busy_distribution(duration * i / kTrapezoids, busy, max_machines + 1, service_rate, arrival_rate);
-    double probability_below = 0;  // P[busy < rented]
+    const auto distribution = busy_distribution(duration * i / kTrapezoids, busy, max_machines + 1,
+                                                service_rate, arrival_rate);
+    double probability_below = 0;  // P[running tasks < rented]
     for (int rented = 0; rented <= max_machines; ++rented) {
-      row[static_cast<size_t>(rented)] += arrival_rate * weight * std::clamp(1 - probability_below, 0.0, 1.0);
+      row[static_cast<size_t>(rented)] +=
+          arrival_rate * weight * std::clamp(1 - probability_below, 0.0, 1.0);
       probability_below += distribution[static_cast<size_t>(rented)];
     }
   }
   return row;
 }
 
-// The grid of machine counts on which the backward pass runs: 0, step, 2 step, ...
+// The grid of machine counts on which the backward pass runs: 0, step, 2·step, ...
 class Grid {
  public:
   explicit Grid(int max_machines)
@@ -112,7 +125,7 @@
   int value(size_t point) const { return static_cast<int>(point) * step_; }
   int max_value() const { return value(size_ - 1); }
 
-  // Where a value lies between two points: (1 - part) * low + part * high.
+  // The position of a value between two grid points: (1 - fraction) * low + fraction * high.
   struct Position {
     size_t low = 0;
     size_t high = 0;
@@ -146,10 +159,11 @@
  public:
   BackwardPass(const SizingInput& input, int max_machines);
 
-  // Goes back by all periods but the present one.
+  // Computes the cost-to-go back to the period after the current one.
   void run();
-  // The best u for x machines of which y are busy. `unplanned`: E[v] by the rented count, which is
-  // tried from y to `most` in steps of `stride`.
+  // Returns the cheapest decision if `rented_before` machines are rented and `busy` of them are
+  // busy. Tries every number of rented machines from `busy` to `max_rented` in steps of `stride`.
+  // `unplanned`: E[v] by the number of rented machines.
   SizingResult decide(int rented_before, int busy, int max_rented, int stride,
                       const std::vector<double>& unplanned) const;
 
@@ -159,10 +173,10 @@
 
   const SizingInput& input_;
   Grid grid_;
-  CostTable next_costs_;  // the cost-to-go from the period after the one that is decided
+  CostTable next_costs_;  // cost-to-go from the period after the one being decided
 };
 
-// Starts with the terminal cost max(0, x_N − y_N).
+// Starts from the terminal cost max(0, x_N − y_N).
 BackwardPass::BackwardPass(const SizingInput& input, int max_machines)
     : input_(input), grid_(max_machines), next_costs_(grid_.size()) {
   for (size_t x = 0; x < grid_.size(); ++x)
@@ -174,13 +188,15 @@
   if (input_.horizon_periods <= 1) return;
   std::vector<std::vector<double>> unplanned(grid_.size());
   for (size_t y = 0; y < grid_.size(); ++y)
-    unplanned[y] = unplanned_by_rented(input_.period_length, grid_.value(y), grid_.max_value(), input_.service_rate, input_.arrival_rate);
+    unplanned[y] = unplanned_by_rented(input_.period_length, grid_.value(y), grid_.max_value(),
+                                       input_.service_rate, input_.arrival_rate);
   CostTable current_costs(grid_.size());
   for (int k = input_.horizon_periods - 1; k > 0; --k) {
     for (size_t x = 0; x < grid_.size(); ++x)
       for (size_t y = 0; y < grid_.size(); ++y)
         current_costs.at(x, y) =
-            decide(grid_.value(x), grid_.value(y), grid_.max_value(), grid_.step(), unplanned[y]).cost;
+            decide(grid_.value(x), grid_.value(y), grid_.max_value(), grid_.step(), unplanned[y])
+                .cost;
     std::swap(current_costs, next_costs_);
   }
 }
@@ -189,12 +205,15 @@
                                   const std::vector<double>& unplanned) const {
   SizingResult best;
   best.cost = std::numeric_limits<double>::infinity();
-  best.expected_busy = expected_busy(input_.period_length, busy, input_.service_rate, input_.arrival_rate);
-  const Grid::Position next_busy = grid_.locate(std::min<double>(best.expected_busy, grid_.max_value()));
+  best.expected_busy =
+      expected_busy(input_.period_length, busy, input_.service_rate, input_.arrival_rate);
+  const Grid::Position next_busy =
+      grid_.locate(std::min<double>(best.expected_busy, grid_.max_value()));
   for (int rented = busy; rented <= max_rented; rented += stride) {
     const int machines_to_rent = rented - rented_before;
     const double expected_unplanned = unplanned[static_cast<size_t>(rented)];
-    const double cost = input_.planned_cost * std::max(0, machines_to_rent) + input_.unplanned_cost * expected_unplanned + input_.holding_cost * rented +
+    const double cost = input_.planned_cost * std::max(0, machines_to_rent) +
+                        input_.unplanned_cost * expected_unplanned + input_.holding_cost * rented +
                         expected_cost_to_go(rented, next_busy);
     if (cost >= best.cost - kCostTolerance) continue;
     best.cost = cost;
@@ -204,17 +223,20 @@
   return best;
 }
 
-// From x_{k+1} = max(y_{k+1}, x_k + u_k), where y_{k+1} lies between two grid points.
+// Returns the cost-to-go from x_{k+1} = max(y_{k+1}, x_k + u_k), interpolated between the two grid
+// points next to y_{k+1}.
 double BackwardPass::expected_cost_to_go(int rented, const Grid::Position& next_busy) const {
   const auto [low, high, fraction] = next_busy;
   return (1 - fraction) * cost_to_go(std::max(grid_.value(low), rented), low) +
          fraction * cost_to_go(std::max(grid_.value(high), rented), high);
 }
 
-// At x machines, which may lie between grid points, and the grid point y.
+// Returns the cost-to-go with `rented` machines, interpolated between grid points, at the grid
+// point `busy_point`.
 double BackwardPass::cost_to_go(double rented, size_t busy_point) const {
   const auto [low, high, fraction] = grid_.locate(rented);
-  return (1 - fraction) * next_costs_.at(low, busy_point) + fraction * next_costs_.at(high, busy_point);
+  return (1 - fraction) * next_costs_.at(low, busy_point) +
+         fraction * next_costs_.at(high, busy_point);
 }
 
 }  // namespace
@@ -224,26 +246,34 @@
   return mean_running_arrivals(duration, service_rate, arrival_rate) + busy * still_running;
 }
 
-double probability_all_busy(double duration, int busy, int rented, double service_rate, double arrival_rate) {
+double probability_all_busy(double duration, int busy, int rented, double service_rate,
+                            double arrival_rate) {
   if (rented <= 0) return 1;
   double probability_below = 0;
-  for (const double probability : busy_distribution(duration, busy, rented, service_rate, arrival_rate)) probability_below += probability;
+  for (const double probability :
+       busy_distribution(duration, busy, rented, service_rate, arrival_rate))
+    probability_below += probability;
   return std::clamp(1 - probability_below, 0.0, 1.0);
 }
 
-double expected_unplanned_rentals(double duration, int busy, int rented, double service_rate, double arrival_rate) {
-  return unplanned_by_rented(duration, busy, rented, service_rate, arrival_rate)[static_cast<size_t>(rented)];
+double expected_unplanned_rentals(double duration, int busy, int rented, double service_rate,
+                                  double arrival_rate) {
+  return unplanned_by_rented(duration, busy, rented, service_rate,
+                             arrival_rate)[static_cast<size_t>(rented)];
 }
 
-// With many machines the backward pass runs on a grid, so that its cost does not grow with R. E[v]
-// is exact at each point, and the present period's decision is made over every whole u.
+// With many machines the backward pass runs on a grid, so that its running time does not grow with
+// R. E[v] is not interpolated but computed at each grid point, and the decision for the current
+// period considers every integer u.
 SizingResult size_fleet(const SizingInput& input) {
-  const int max_machines = std::max({input.max_machines, input.rented, static_cast<int>(std::ceil(input.busy)), 1});
+  const int max_machines =
+      std::max({input.max_machines, input.rented, static_cast<int>(std::ceil(input.busy)), 1});
   BackwardPass pass(input, max_machines);
   pass.run();
   const int busy = std::min(static_cast<int>(std::ceil(input.busy - kBusyTolerance)), max_machines);
   return pass.decide(std::min(input.rented, max_machines), busy, max_machines, 1,
-                     unplanned_by_rented(input.period_length, busy, max_machines, input.service_rate, input.arrival_rate));
+                     unplanned_by_rented(input.period_length, busy, max_machines,
+                                         input.service_rate, input.arrival_rate));
 }
 
 }  // namespace rooksill::policy
--- a/src/rooksill/routing/fallback_routing.cc
+++ b/src/rooksill/routing/fallback_routing.cc
@@ -8,14 +8,16 @@
 
 namespace {
 
-constexpr double kTurnReports = 2;  // that a shard stays with one partition
+// How long a shard stays with one partition, in report intervals.
+constexpr double kTurnReports = 2;
 
-// One partition at a time decides for a job whose tasks depend on each other's places.
+// Returns whether all shards of the job must be in the same partition: only one partition at a time
+// places a job whose tasks' placements depend on each other.
 bool requires_common_partition(const model::JobSpec& spec) {
   return spec.one_zone || spec.spread || spec.shape == model::Shape::kGang;
 }
 
-// Spreads jobs, and the shards of a job, over the partitions.
+// Returns the first turn's number, which spreads jobs and the shards of a job over the partitions.
 uint64_t initial_turn(const model::JobSpec& spec, uint32_t shard) {
   uint64_t hash = requires_common_partition(spec) ? 0 : shard;
   for (unsigned char character : spec.id) hash = hash * 31 + character;
--- a/src/rooksill/routing/fallback_routing.h
+++ b/src/rooksill/routing/fallback_routing.h
@@ -1,4 +1,4 @@
-// Routing without a leader.
+// Routing of job shards to partitions while there is no reachable leader.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace rooksill::routing {
 
-// The partition that places a shard of a job while no leader routes it. The same on every
-// controller that has the same records, without any message between them. The next partition's turn
-// comes after two report periods, so that a shard that finds no room is tried everywhere.
-// Partitions whose share of the team's quota takes none of its tasks are passed over.
-// `wall_time`: seconds of the wall clock; turns are counted from the job's submission.
+// Returns the partition that places a shard of a job while no leader routes it. All controllers
+// with the same store records compute the same partition without exchanging messages. The partition
+// changes every two report intervals, so that a shard that finds no capacity is tried in every
+// partition. Partitions whose share of the team's quota is smaller than one of the job's tasks are
+// skipped. `wall_time`: seconds of the wall clock; turns are counted from the job's submission.
 int fallback_partition(const Settings& settings, const store::Replica& replica,
                        const model::Job& job, uint32_t shard, double wall_time);
 
