--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -18,9 +18,9 @@
 // Intervals, as divisors of the lease's TTL.
 constexpr double kRenewalsPerTtl = 4;
 constexpr double kRenewalRetriesPerTtl = 12;
-constexpr double kCampaignsPerTtl = 5;        // attempts of one candidate per TTL
-constexpr double kCampaignJitterPerTtl = 10;  // keeps candidates from colliding repeatedly
-constexpr double kFirstCampaignJitterPerTtl = 20;
+constexpr double kCampaignsPerTtl = 5;             // attempts of one candidate per TTL
+constexpr double kCampaignJitterPerTtl = 10;       // keeps candidates from colliding repeatedly
+constexpr double kFirstCampaignJitterPerTtl = 20;  // after the leader key has disappeared
 // A leader that receives no message from any other controller for this many peer timeouts resigns.
 constexpr double kIsolationPeerTimeouts = 2;
 }  // namespace
@@ -35,18 +35,18 @@
       peers_(peers),
       handlers_(std::move(handlers)) {}
 
-double Election::lease_ttl() const {
+double Election::lease_ttl_s() const {
   return context_.settings.operators.leader_ttl_reports * context_.settings.platform.report_s;
 }
 
-bool Election::leader_key_is_ours() const {
+bool Election::holds_leader_key() const {
   return replica_.leader.label == context_.settings.platform.label &&
          replica_.leader.incarnation == context_.incarnation;
 }
 
 bool Election::is_leading() const {
   return state_ == State::kLeading && context_.now.steady < lease_valid_until_ &&
-         leader_key_is_ours() && replica_.synced_revision >= replica_.leader.revision;
+         holds_leader_key() && replica_.synced_revision >= replica_.leader.revision;
 }
 
 bool Election::is_leader_unreachable() const {
@@ -64,7 +64,7 @@
 
 void Election::maintain_leadership() {
   const double now = context_.now.steady;
-  if (now >= lease_valid_until_ || !leader_key_is_ours())
+  if (now >= lease_valid_until_ || !holds_leader_key())
     return resign("its lease expired or another process holds the leader key");
   if (peers_.last_heard_any() > term_started_at_) has_received_from_peer_ = true;
   // A leader that receives no messages may be isolated from the other controllers while its lease
@@ -78,7 +78,7 @@
 }
 
 void Election::seek_leadership() {
-  const double ttl = lease_ttl();
+  const double ttl_s = lease_ttl_s();
   const double now = context_.now.steady;
   const bool has_leader = replica_.leader.revision != model::kNoRevision;
   // An earlier process of this controller is known to have ended, so its key may be replaced before
@@ -92,18 +92,18 @@
   }
   if (vacant_since_ == 0) {
     vacant_since_ = now;
-    next_campaign_at_ = now + context_.uniform(0, ttl / kFirstCampaignJitterPerTtl);
+    next_campaign_at_ = now + context_.uniform(0, ttl_s / kFirstCampaignJitterPerTtl);
   }
   // An isolated controller waits for one TTL, so that controllers that can reach each other elect a
   // leader first.
   const bool is_isolated =
       !peers_.labels().empty() && now - peers_.last_heard_any() > peers_.silence();
-  if (is_isolated && now - vacant_since_ < ttl) return;
+  if (is_isolated && now - vacant_since_ < ttl_s) return;
   if (state_ == State::kFollower && now >= next_campaign_at_) campaign();
 }
 
 void Election::campaign() {
-  const LeaseRequest request{context_.now.steady, lease_ttl()};
+  const LeaseRequest request{context_.now.steady, lease_ttl_s()};
   const int ttl_ms =
       static_cast<int>(std::clamp(request.ttl_s * 1000, kMinLeaseTtlMs, kMaxLeaseTtlMs));
   next_campaign_at_ = request.sent_at + request.ttl_s / kCampaignsPerTtl +
@@ -159,7 +159,7 @@
 }
 
 void Election::renew() {
-  const LeaseRequest request{context_.now.steady, lease_ttl()};
+  const LeaseRequest request{context_.now.steady, lease_ttl_s()};
   is_renewal_pending_ = client_.request(
       "POST", wire::lease_renewal_path(lease_id_), "", request.ttl_s / kRenewalsPerTtl,
       [this, request, lease_id = lease_id_](const runtime::CallDone& response) {
--- a/src/rooksill/leader/election.h
+++ b/src/rooksill/leader/election.h
@@ -55,8 +55,8 @@
     double ttl_s = 0;
   };
 
-  double lease_ttl() const;
-  bool leader_key_is_ours() const;
+  double lease_ttl_s() const;
+  bool holds_leader_key() const;
   void maintain_leadership();
   void seek_leadership();
   void campaign();
@@ -78,7 +78,7 @@
 
   State state_ = State::kFollower;
   bool is_renewal_pending_ = false;
-  bool has_received_from_peer_ = false;  // a message of any other controller, in this term
+  bool has_received_from_peer_ = false;  // any other controller, in this term
   uint64_t term_ = 0;
   uint64_t lease_id_ = 0;
   double lease_valid_until_ = 0;  // this process does not rely on its lease after that
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -21,9 +21,10 @@
 // How long a returned controller must have been reachable before partitions are moved to it.
 constexpr double kReturnSettleReports = 2;
 // How long the reports of the owner that replaced a suspect one are trusted.
-constexpr double kSecondOpinionTrustReports = 20;
+constexpr double kReplacementTrustReports = 20;
 
-// A partition is moved only if that makes the numbers per controller more even.
+// A partition is moved only if the controllers' numbers of partitions differ by at least this much,
+// so that a move always makes them more even.
 constexpr int kMinRebalanceDifference = 2;
 }  // namespace
 
@@ -62,6 +63,7 @@
 
 // ---- Eligible owners
 
+// Returns the eligible controllers or, if there are none, all live ones.
 PartitionAssigner::Candidates PartitionAssigner::find_candidates() {
   const auto labels = context_.settings.platform.labels();
   Candidates candidates;
@@ -78,6 +80,7 @@
   return candidates;
 }
 
+// Returns whether the controller may own partitions, and logs a change of that.
 bool PartitionAssigner::check_eligibility(const std::string& label) {
   const std::string reason = ineligibility_reason(label);
   std::string& last_reason = ineligibility_reasons_[label];
@@ -210,15 +213,15 @@
 
 std::set<int> PartitionAssigner::suspect_partitions() const {
   std::set<int> suspect;
-  const double trust_s = kSecondOpinionTrustReports * context_.settings.platform.report_s;
+  const double trust_s = kReplacementTrustReports * context_.settings.platform.report_s;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const std::string& owner = replica_.leases[i].owner;
     const int partition = static_cast<int>(i);
     const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
     auto reassigned = reassigned_from_suspect_at_.find(partition);
-    const bool has_second_opinion = reassigned != reassigned_from_suspect_at_.end() &&
-                                    context_.now.steady - reassigned->second < trust_s;
-    if (is_doubtful && !has_second_opinion) suspect.insert(partition);
+    const bool is_replacement_trusted = reassigned != reassigned_from_suspect_at_.end() &&
+                                        context_.now.steady - reassigned->second < trust_s;
+    if (is_doubtful && !is_replacement_trusted) suspect.insert(partition);
   }
   return suspect;
 }
@@ -235,8 +238,8 @@
       owners_by_zone[zone].insert(owner);
     }
   }
-  for (const auto& [zone, cut_off] : owners_by_zone)
-    if (cut_off.size() * 2 > owners.size()) unreachable.to_most.insert(zone);
+  for (const auto& [zone, reporting_owners] : owners_by_zone)
+    if (reporting_owners.size() * 2 > owners.size()) unreachable.to_most.insert(zone);
   return unreachable;
 }
 
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -13,6 +13,7 @@
 // How long a shard stays with a partition before a partition is chosen again, in report intervals.
 constexpr double kRetryReports = 1;
 constexpr double kGangRetryReports = 0.25;
+// How often per report interval the estimates are refreshed and all routes are sent.
 constexpr double kRefreshesPerReport = 10;
 constexpr double kFullSendsPerReport = 6;
 // Each turn routes at least kMinJobsPerTurn pending jobs, and enough of them to cycle through all
@@ -127,6 +128,7 @@
   unsent_routes_[partition].push_back({shard.job, shard.index});
 }
 
+// Keeps the current partition until the retry interval is over, then chooses one again.
 int Router::choose_partition(const JobRouting& routing, uint32_t index, const Route* current) {
   const model::Job& job = *routing.job;
   if (current != nullptr && context_.now.steady - current->assigned_at < routing.retry_interval_s)
@@ -134,9 +136,10 @@
   if (routing.common_partition) return *routing.common_partition;
   if (routing.uses_fallback)
     return routing::fallback_partition(context_.settings, replica_, job, index, context_.now.wall);
-  std::optional<int> failed;
-  if (job.spec.shape == model::Shape::kGang && current != nullptr) failed = current->partition;
-  return chooser_.choose(job, index, failed);
+  std::optional<int> failed_partition;
+  if (job.spec.shape == model::Shape::kGang && current != nullptr)
+    failed_partition = current->partition;
+  return chooser_.choose(job, index, failed_partition);
 }
 
 // ---- Messages
@@ -180,6 +183,7 @@
   return messages;
 }
 
+// Also removes the shards of jobs that are over or no longer exist.
 void Router::remove_placed_shards() {
   std::erase_if(routes_, [&](const auto& entry) {
     const model::ShardId& shard = entry.first;
--- a/src/rooksill/policy/sizing.cc
+++ b/src/rooksill/policy/sizing.cc
@@ -11,7 +11,7 @@
 constexpr int kTrapezoids = 8;
 // Maximum number of steps of the backward pass's grid along x and y. With at most this many
 // machines, every machine count is a grid point.
-constexpr int kGridSteps = 32;
+constexpr int kMaxGridSteps = 32;
 // A distribution is computed within kWindowDeviations standard deviations plus kMinWindowValues
 // values on each side of its mean; the probability outside that window is negligible.
 constexpr double kWindowDeviations = 6;
@@ -35,9 +35,9 @@
 };
 
 Range range_around(double mean, double variance) {
-  const double reach = kWindowDeviations * std::sqrt(variance) + kMinWindowValues;
-  return {std::max(0, static_cast<int>(std::floor(mean - reach))),
-          static_cast<int>(std::ceil(mean + reach))};
+  const double half_width = kWindowDeviations * std::sqrt(variance) + kMinWindowValues;
+  return {std::max(0, static_cast<int>(std::floor(mean - half_width))),
+          static_cast<int>(std::ceil(mean + half_width))};
 }
 
 // Returns (λ/μ)(1 − e^(−μs)), the mean number of tasks that arrived within `duration` (s) and are
@@ -98,26 +98,26 @@
 // computed once for all of them.
 std::vector<double> unplanned_by_rented(double duration, int busy, int max_machines,
                                         double service_rate, double arrival_rate) {
-  std::vector<double> row(static_cast<size_t>(max_machines) + 1);
+  std::vector<double> expected(static_cast<size_t>(max_machines) + 1);
   for (int i = 0; i <= kTrapezoids; ++i) {
     const double weight = (i == 0 || i == kTrapezoids ? 0.5 : 1.0) * duration / kTrapezoids;
     const auto distribution = busy_distribution(duration * i / kTrapezoids, busy, max_machines + 1,
                                                 service_rate, arrival_rate);
     double probability_below = 0;  // P[running tasks < rented]
     for (int rented = 0; rented <= max_machines; ++rented) {
-      row[static_cast<size_t>(rented)] +=
+      expected[static_cast<size_t>(rented)] +=
           arrival_rate * weight * std::clamp(1 - probability_below, 0.0, 1.0);
       probability_below += distribution[static_cast<size_t>(rented)];
     }
   }
-  return row;
+  return expected;
 }
 
 // The grid of machine counts on which the backward pass runs: 0, step, 2·step, ...
 class Grid {
  public:
   explicit Grid(int max_machines)
-      : step_((max_machines + kGridSteps - 1) / kGridSteps),
+      : step_((max_machines + kMaxGridSteps - 1) / kMaxGridSteps),
         size_(static_cast<size_t>((max_machines + step_ - 1) / step_) + 1) {}
 
   int step() const { return step_; }
--- a/src/rooksill/policy/sizing.h
+++ b/src/rooksill/policy/sizing.h
@@ -54,8 +54,8 @@
 double expected_unplanned_rentals(double duration, int busy, int rented, double service_rate,
                                   double arrival_rate);
 
-// Returns the u of the first period that minimizes the cost over all periods, with y − x ≤ u ≤ R −
-// x.
+// Returns the u of the first period that minimizes the cost over all periods. The constraint is
+// y − x ≤ u ≤ R − x.
 SizingResult size_fleet(const SizingInput& input);
 
 }  // namespace rooksill::policy
