--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -175,9 +175,9 @@
   machine_statuses_.remove_outdated();
   if (leader_.leading() && store_status_timer_.fire(context_.now.steady, store_status_interval_s))
     machine_statuses_.derive_from_store();
-  fleet_.observe();
+  fleet_.sample_demand();
   leader_.tick(machine_statuses_.statuses());
-  for (const auto& [machine, address] : fleet_.take_addresses())
+  for (const auto& [machine, address] : fleet_.pop_addresses())
     owner_.record_address(machine, address);
 }
 
@@ -199,7 +199,7 @@
     owner_.request_placement();
     leader_.route_now();
   }
-  fleet_.measure(replica_.changes.events);
+  fleet_.record_task_events(replica_.changes.events);
   replica_.changes.events.clear();
   replica_.changes.touched_jobs.clear();
   owner_.apply_store_changes();
--- a/src/rooksill/fleet/capacity_limits.cc
+++ b/src/rooksill/fleet/capacity_limits.cc
@@ -5,32 +5,32 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr int kMostRefusals = 4;       // after which the time of belief grows no more
-constexpr double kCeilingReports = 5;  // report intervals that a ceiling holds, by refusal
-constexpr double kClosedReports = 2;   // and that the offer is not asked for
+constexpr int kMaxCountedRefusals = 4;       // after which the time of belief grows no more
+constexpr double kLimitHeartbeatsPerRefusal = 5;  // report intervals that a ceiling holds, by refusal
+constexpr double kBlockHeartbeatsPerRefusal = 2;   // and that the offer is not asked for
 }  // namespace
 
-bool CapacityLimits::is_open(const Offer& offer) const {
-  if (silent_.is_cut_off(offer.zone)) return false;
-  const auto closed = closed_until_.find(offer);
-  return closed == closed_until_.end() || closed->second <= context_.now.steady;
+bool CapacityLimits::can_request(const Offer& offer) const {
+  if (unreachable_machines_.is_isolated(offer.zone)) return false;
+  const auto blocked = blocked_until_.find(offer);
+  return blocked == blocked_until_.end() || blocked->second <= context_.now.steady;
 }
 
-int CapacityLimits::ceiling(const Offer& offer) const {
-  const auto known = ceilings_.find(offer);
-  if (known == ceilings_.end() || known->second.until <= context_.now.steady)
+int CapacityLimits::machine_limit(const Offer& offer) const {
+  const auto observed = observed_limits_.find(offer);
+  if (observed == observed_limits_.end() || observed->second.expires_at <= context_.now.steady)
     return lists_.count_of(offer) + kMaxMachinesPerRental;
-  return known->second.machines;
+  return observed->second.machines;
 }
 
 void CapacityLimits::record_refusal(const Offer& offer) {
   const double now = context_.now.steady;
-  const double report = context_.settings.platform.report_s;
-  Ceiling& ceiling = ceilings_[offer];
-  ceiling.machines = lists_.count_of(offer);
-  ceiling.refusals = std::min(ceiling.refusals + 1, kMostRefusals);
-  ceiling.until = now + kCeilingReports * report * ceiling.refusals;
-  closed_until_[offer] = now + kClosedReports * report * ceiling.refusals;
+  const double heartbeat_s = context_.settings.platform.report_s;
+  ObservedLimit& limit = observed_limits_[offer];
+  limit.machines = lists_.count_of(offer);
+  limit.refusals = std::min(limit.refusals + 1, kMaxCountedRefusals);
+  limit.expires_at = now + kLimitHeartbeatsPerRefusal * heartbeat_s * limit.refusals;
+  blocked_until_[offer] = now + kBlockHeartbeatsPerRefusal * heartbeat_s * limit.refusals;
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/capacity_limits.h
+++ b/src/rooksill/fleet/capacity_limits.h
@@ -5,7 +5,7 @@
 
 #include "rooksill/fleet/machine_lists.h"
 #include "rooksill/fleet/offer.h"
-#include "rooksill/fleet/silent_machines.h"
+#include "rooksill/fleet/unreachable_machines.h"
 #include "rooksill/runtime/context.h"
 
 namespace rooksill::fleet {
@@ -18,33 +18,33 @@
 // requests need. Refusals outlast a term: they say something of the cloud, not of the leader.
 class CapacityLimits {
  public:
-  CapacityLimits(runtime::Context& context, const MachineLists& lists, const SilentMachines& silent)
-      : context_(context), lists_(lists), silent_(silent) {}
+  CapacityLimits(runtime::Context& context, const MachineLists& lists, const UnreachableMachines& unreachable_machines)
+      : context_(context), lists_(lists), unreachable_machines_(unreachable_machines) {}
 
   // Whether it makes sense to ask for the offer now: it was not refused lately, and its zone is not
   // cut off.
-  bool is_open(const Offer& offer) const;
+  bool can_request(const Offer& offer) const;
   // How many machines of the offer there can be: as many as when the cloud last gave no more, or
   // what one more request may ask for.
-  int ceiling(const Offer& offer) const;
+  int machine_limit(const Offer& offer) const;
 
   // The cloud gave fewer machines than were asked for.
   void record_refusal(const Offer& offer);
   // The cloud gave some machines.
-  void record_supply(const Offer& offer) { ceilings_.erase(offer); }
+  void record_success(const Offer& offer) { observed_limits_.erase(offer); }
 
  private:
-  struct Ceiling {
+  struct ObservedLimit {
     int machines = 0;  // how many there were when the cloud gave no more
     int refusals = 0;  // in a row
-    double until = 0;  // steady clock
+    double expires_at = 0;  // steady clock
   };
 
   runtime::Context& context_;
   const MachineLists& lists_;
-  const SilentMachines& silent_;
-  std::map<Offer, Ceiling> ceilings_;
-  std::map<Offer, double> closed_until_;  // steady clock
+  const UnreachableMachines& unreachable_machines_;
+  std::map<Offer, ObservedLimit> observed_limits_;
+  std::map<Offer, double> blocked_until_;  // steady clock
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/cloud_client.cc
+++ b/src/rooksill/fleet/cloud_client.cc
@@ -12,7 +12,7 @@
     : context_(context), rate_limit_(context.settings.platform.cloud_rps) {}
 
 void CloudClient::start_term(uint64_t term) {
-  leading_ = true;
+  is_leader_ = true;
   term_ = term;
 }
 
@@ -32,7 +32,7 @@
       runtime::Target::kCloud, context_.settings.platform.cloud_address, method, path, body,
       kTimeoutSeconds,
       [this, term = term_, on_response = std::move(on_response)](const runtime::CallDone& done) {
-        if (leading_ && term == term_) on_response(done);
+        if (is_leader_ && term == term_) on_response(done);
       });
   return true;
 }
--- a/src/rooksill/fleet/cloud_client.h
+++ b/src/rooksill/fleet/cloud_client.h
@@ -18,8 +18,8 @@
 
   void start_term(uint64_t term);
   // Until the next term nothing is sent, and no response is taken.
-  void stop() { leading_ = false; }
-  bool leading() const { return leading_; }
+  void end_term() { is_leader_ = false; }
+  bool is_leader() const { return is_leader_; }
   // Adds to the request budget what came in since the last call.
   void refill_rate_limit() { rate_limit_.refill(context_.now.steady); }
 
@@ -35,7 +35,7 @@
 
   runtime::Context& context_;
   store::RateLimit rate_limit_;
-  bool leading_ = false;
+  bool is_leader_ = false;
   uint64_t term_ = 0;
 };
 
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -8,58 +8,58 @@
 
 namespace {
 // A machine is adopted once it has been listed for so many times the list's lag.
-constexpr double kAdoptionLags = 2;
+constexpr double kAdoptionListLags = 2;
 const std::string kMachinesPerPage = "500";
 }  // namespace
 
 void CloudInventory::start_term() {
-  request_under_way_ = complete_ = false;
-  next_request_ = 0;
-  last_read_.clear();
+  request_in_flight_ = is_complete_ = false;
+  next_request_at_ = 0;
+  last_listed_name_.clear();
   unexpected_since_.clear();
 }
 
 // A page that the rate limit or the cloud refuses is asked for again: a list begun anew each time
 // would never be read to its end where that takes more calls than a second allows.
 void CloudInventory::refresh() {
-  if (request_under_way_ || context_.now.steady < next_request_) return;
+  if (request_in_flight_ || context_.now.steady < next_request_at_) return;
   std::string path = "/hosts?most=" + kMachinesPerPage;
-  if (last_read_.empty())
-    listed_.clear();
+  if (last_listed_name_.empty())
+    listed_machines_.clear();
   else
-    path = "/hosts?from=" + last_read_ + "&most=" + kMachinesPerPage;
-  request_under_way_ =
+    path = "/hosts?from=" + last_listed_name_ + "&most=" + kMachinesPerPage;
+  request_in_flight_ =
       cloud_.get(path, [this](const runtime::CallDone& done) { on_response(done); });
-  if (!request_under_way_)
-    next_request_ = context_.now.steady + 1 / context_.settings.platform.cloud_rps;
+  if (!request_in_flight_)
+    next_request_at_ = context_.now.steady + 1 / context_.settings.platform.cloud_rps;
 }
 
 void CloudInventory::on_response(const runtime::CallDone& done) {
-  request_under_way_ = false;
+  request_in_flight_ = false;
   const auto& platform = context_.settings.platform;
   const auto page = wire::parse_list(done.body);
   if (done.status != 200 || !page) {
-    next_request_ = context_.now.steady + platform.report_s / 2;
+    next_request_at_ = context_.now.steady + platform.report_s / 2;
     return;
   }
-  listed_.insert(listed_.end(), page->machines.begin(), page->machines.end());
+  listed_machines_.insert(listed_machines_.end(), page->machines.begin(), page->machines.end());
   if (page->more && !page->machines.empty()) {
-    last_read_ = page->machines.back().name;
+    last_listed_name_ = page->machines.back().name;
     return;
   }
-  last_read_.clear();
+  last_listed_name_.clear();
   // Asked for more often than it changes, the list would take the calls that rentals need.
-  next_request_ = context_.now.steady + std::max(platform.report_s, platform.cloud_list_lag_s / 2);
+  next_request_at_ = context_.now.steady + std::max(platform.report_s, platform.cloud_list_lag_s / 2);
   process_list();
 }
 
 void CloudInventory::process_list() {
-  complete_ = true;
+  is_complete_ = true;
   std::map<std::string, double> unexpected_since;
-  for (const wire::ListedMachine& machine : listed_) {
+  for (const wire::ListedMachine& machine : listed_machines_) {
     const std::string& name = machine.name;
     if (!machine.address.empty()) addresses_[name] = machine.address;
-    if (returns_.was_released(name) || lists_.is_pending(name)) continue;
+    if (returns_.was_recently_released(name) || lists_.is_addition_pending(name)) continue;
     if (replica_.machine(name) != nullptr) {
       if (machine.failed) returns_.release(name, "listed as failed");
       continue;
@@ -75,8 +75,8 @@
 // Rented by a request whose response was lost, or that was carried out late; or gone and still
 // listed. It is adopted once it has been listed for longer than the list can lag.
 void CloudInventory::process_unexpected(const wire::ListedMachine& machine, double listed_since) {
-  const double lag = context_.settings.platform.cloud_list_lag_s;
-  if (context_.now.steady - listed_since < kAdoptionLags * lag) return;
+  const double lag_s = context_.settings.platform.cloud_list_lag_s;
+  if (context_.now.steady - listed_since < kAdoptionListLags * lag_s) return;
   if (machine.failed) {
     returns_.release(machine.name, "unexpected and failed");
     return;
@@ -87,20 +87,20 @@
 
 void CloudInventory::on_unassigned_machine(const wire::UnassignedMachine& report) {
   const std::string& name = report.machine;
-  if (replica_.machine(name) != nullptr || lists_.is_pending(name)) return;
-  if (returns_.was_released(name)) return;
+  if (replica_.machine(name) != nullptr || lists_.is_addition_pending(name)) return;
+  if (returns_.was_recently_released(name)) return;
   const Offer offer{{report.type, report.spot}, report.zone};
-  if (rentals_.is_expected(offer)) return;  // the response will name it
+  if (rentals_.has_request_in_flight(offer)) return;  // the response will name it
   context_.info("fleet", "machine {} reports and is in no partition: adopted", name);
   addresses_[name] = report.address;
   lists_.add({name}, offer);
 }
 
-std::vector<wire::Address> CloudInventory::take_addresses() {
-  std::vector<wire::Address> taken;
-  for (auto& [machine, address] : addresses_) taken.push_back({machine, address});
+std::vector<wire::Address> CloudInventory::pop_addresses() {
+  std::vector<wire::Address> addresses;
+  for (auto& [machine, address] : addresses_) addresses.push_back({machine, address});
   addresses_.clear();
-  return taken;
+  return addresses;
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/cloud_inventory.h
+++ b/src/rooksill/fleet/cloud_inventory.h
@@ -36,12 +36,12 @@
   // Asks for the next page if that is due.
   void refresh();
   // Whether a whole list has been read in this term.
-  bool complete() const { return complete_; }
+  bool is_complete() const { return is_complete_; }
   // Adopts a machine that reported to a controller without being in any list, unless it is likely
   // that of a rental under way.
   void on_unassigned_machine(const wire::UnassignedMachine& report);
   // Addresses learned since the last call, by machine name.
-  std::vector<wire::Address> take_addresses();
+  std::vector<wire::Address> pop_addresses();
 
  private:
   void on_response(const runtime::CallDone& done);
@@ -55,11 +55,11 @@
   MachineLists& lists_;
   MachineReturns& returns_;
   const Rentals& rentals_;
-  bool request_under_way_ = false;
-  bool complete_ = false;
-  double next_request_ = 0;                  // steady clock
-  std::vector<wire::ListedMachine> listed_;  // the pages read so far
-  std::string last_read_;                    // the last machine of these; empty: none is read
+  bool request_in_flight_ = false;
+  bool is_complete_ = false;
+  double next_request_at_ = 0;                  // steady clock
+  std::vector<wire::ListedMachine> listed_machines_;  // the pages read so far
+  std::string last_listed_name_;                    // the last machine of these; empty: none is read
   std::map<std::string, double> unexpected_since_;  // by machine, steady clock
   std::map<std::string, std::string> addresses_;    // by machine
 };
--- a/src/rooksill/fleet/demand_meter.cc
+++ b/src/rooksill/fleet/demand_meter.cc
@@ -6,10 +6,10 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr double kSamplesPerReport = 4;
+constexpr double kSamplesPerHeartbeat = 4;
 }  // namespace
 
-void DemandMeter::record(const std::vector<store::TaskEvent>& events) {
+void DemandMeter::record_events(const std::vector<store::TaskEvent>& events) {
   for (const store::TaskEvent& event : events) {
     const model::Machine* machine = replica_.machine(event.machine);
     const model::Job* job = replica_.job(event.job);
@@ -27,17 +27,17 @@
 
 void DemandMeter::sample() {
   const double now = context_.now.steady;
-  const double report = context_.settings.platform.report_s;
-  if (now - last_sample_ < report / kSamplesPerReport) return;
-  const double passed = last_sample_ > 0 ? now - last_sample_ : 0;
-  last_sample_ = now;
-  for (const auto& [pool, machines] : busy_machines()) demand_[pool].record_busy(machines, passed);
-  if (now < period_end_) return;
+  const double heartbeat_s = context_.settings.platform.report_s;
+  if (now - last_sample_at_ < heartbeat_s / kSamplesPerHeartbeat) return;
+  const double elapsed_s = last_sample_at_ > 0 ? now - last_sample_at_ : 0;
+  last_sample_at_ = now;
+  for (const auto& [pool, machines] : busy_machines()) demand_[pool].record_busy(machines, elapsed_s);
+  if (now < period_ends_at_) return;
   const auto& operators = context_.settings.operators;
-  const double period = operators.period_reports * report;
-  if (period_end_ > 0)
-    for (auto& [pool, demand] : demand_) demand.end_period(period, operators.demand_cap);
-  period_end_ = now + period;
+  const double period_s = operators.period_reports * heartbeat_s;
+  if (period_ends_at_ > 0)
+    for (auto& [pool, demand] : demand_) demand.end_period(period_s, operators.demand_cap);
+  period_ends_at_ = now + period_s;
 }
 
 // By what the store says is on the machines, which every controller knows.
--- a/src/rooksill/fleet/demand_meter.h
+++ b/src/rooksill/fleet/demand_meter.h
@@ -19,13 +19,13 @@
       : context_(context), replica_(replica) {}
 
   // Counts tasks that were placed or have finished.
-  void record(const std::vector<store::TaskEvent>& events);
+  void record_events(const std::vector<store::TaskEvent>& events);
   // Called with each tick: adds how busy the machines are, and ends the period when it is over.
   void sample();
 
-  const policy::Demand& of(const InstancePool& pool) { return demand_[pool]; }
+  const policy::Demand& demand_of(const InstancePool& pool) { return demand_[pool]; }
   // When the present period ends, by the steady clock.
-  double period_end() const { return period_end_; }
+  double period_ends_at() const { return period_ends_at_; }
 
  private:
   std::map<InstancePool, double> busy_machines() const;
@@ -33,8 +33,8 @@
   runtime::Context& context_;
   const store::Replica& replica_;
   std::map<InstancePool, policy::Demand> demand_;
-  double last_sample_ = 0;  // steady clock; 0: none yet
-  double period_end_ = 0;   // 0: no period has begun
+  double last_sample_at_ = 0;  // steady clock; 0: none yet
+  double period_ends_at_ = 0;   // 0: no period has begun
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr int kReplicasPerRound = 1;
-constexpr int kArrayTasksPerRound = 3;
-constexpr double kMovesPerMachine = 0.02;  // more of either in a round, for each machine there is
-constexpr int kLooksPerRound = 48;
+constexpr int kReplicaMovesPerRound = 1;
+constexpr int kArrayTaskMovesPerRound = 3;
+constexpr double kExtraMovesPerMachine = 0.02;  // more of either in a round, for each machine there is
+constexpr int kChecksPerRound = 48;
 
 // Unlike Resources::fits_in without allowance for rounding.
-bool has_free(const wire::MachineStatus& status, const model::Resources& request) {
+bool has_capacity_for(const wire::MachineStatus& status, const model::Resources& request) {
   const model::Resources free = free_resources(status);
   return request.cpus <= free.cpus && request.memory_gb <= free.memory_gb &&
          request.gpus <= free.gpus;
@@ -33,16 +33,16 @@
 
 }  // namespace
 
-void DrainMoves::plan(const wire::MachineStatusMap& statuses) {
+void DrainMoves::plan_moves(const wire::MachineStatusMap& statuses) {
   const std::set<std::string>& draining = returns_.draining();
   if (draining.empty()) return;
   const auto machines = static_cast<double>(replica_.machines.size());
-  const auto extra = static_cast<int>(kMovesPerMachine * machines);
-  Budget budget{kReplicasPerRound + extra, kArrayTasksPerRound + extra, kLooksPerRound};
-  auto next = draining.upper_bound(last_machine_);
-  for (size_t i = 0; i < draining.size() && !budget.exhausted(); ++i, ++next) {
+  const auto extra = static_cast<int>(kExtraMovesPerMachine * machines);
+  Budget budget{kReplicaMovesPerRound + extra, kArrayTaskMovesPerRound + extra, kChecksPerRound};
+  auto next = draining.upper_bound(last_checked_machine_);
+  for (size_t i = 0; i < draining.size() && !budget.is_exhausted(); ++i, ++next) {
     if (next == draining.end()) next = draining.begin();
-    last_machine_ = *next;
+    last_checked_machine_ = *next;
     const model::Machine* from = replica_.machine(*next);
     if (from != nullptr) plan_moves_off(*from, statuses, budget);
   }
@@ -53,19 +53,19 @@
   for (const model::TaskRef& task : replica_.placed_on(from.name)) {
     const model::Job& job = *replica_.job(task.job);
     const bool service = job.spec.shape == model::Shape::kService;
-    int& left = service ? budget.replicas : budget.array_tasks;
-    if (left <= 0 || budget.looks <= 0 || !is_movable(job)) continue;
-    --budget.looks;
+    int& moves_left = service ? budget.replicas : budget.array_tasks;
+    if (moves_left <= 0 || budget.checks <= 0 || !can_move(job)) continue;
+    --budget.checks;
     if (!has_target(job, from, statuses)) continue;
     context_.debug("fleet", "task {} is moved off {}", wire::task_name(task), from.name);
     moves_.push_back({task.job, task.index, replica_.task(task)->attempt});
-    --left;
+    --moves_left;
   }
 }
 
 // A service's replica only while all others are placed, and an array's task only if it saves its
 // progress. A gang would be lost whole with one task; gangs are left to finish.
-bool DrainMoves::is_movable(const model::Job& job) const {
+bool DrainMoves::can_move(const model::Job& job) const {
   if (job.over()) return false;
   switch (job.spec.shape) {
     case model::Shape::kService:
@@ -89,7 +89,7 @@
     --tasks_by_zone[from.zone];
   }
   for (const auto& [name, status] : statuses) {
-    if (!status.up || status.draining || !has_free(status, spec.request)) continue;
+    if (!status.up || status.draining || !has_capacity_for(status, spec.request)) continue;
     const model::Machine* to = replica_.machine(name);
     if (to == nullptr || name == from.name || returns_.is_draining(name)) continue;
     if (to->spot && !spec.spot) continue;
--- a/src/rooksill/fleet/drain_moves.h
+++ b/src/rooksill/fleet/drain_moves.h
@@ -23,22 +23,22 @@
       : context_(context), replica_(replica), returns_(returns) {}
 
   // Plans the next moves.
-  void plan(const wire::MachineStatusMap& statuses);
+  void plan_moves(const wire::MachineStatusMap& statuses);
   // The moves planned since the last call.
-  std::vector<wire::TaskMove> take_moves() { return std::exchange(moves_, {}); }
+  std::vector<wire::TaskMove> pop_moves() { return std::exchange(moves_, {}); }
 
  private:
   // How many tasks may still be moved, and looked at, in one round.
   struct Budget {
     int replicas = 0;
     int array_tasks = 0;
-    int looks = 0;
-    bool exhausted() const { return looks <= 0 || replicas + array_tasks <= 0; }
+    int checks = 0;
+    bool is_exhausted() const { return checks <= 0 || replicas + array_tasks <= 0; }
   };
 
   void plan_moves_off(const model::Machine& from, const wire::MachineStatusMap& statuses,
                       Budget& budget);
-  bool is_movable(const model::Job& job) const;
+  bool can_move(const model::Job& job) const;
   bool has_target(const model::Job& job, const model::Machine& from,
                   const wire::MachineStatusMap& statuses) const;
 
@@ -46,7 +46,7 @@
   const store::Replica& replica_;
   const MachineReturns& returns_;
   std::vector<wire::TaskMove> moves_;
-  std::string last_machine_;  // whose tasks were looked at
+  std::string last_checked_machine_;  // whose tasks were looked at
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/gang_target.cc
+++ b/src/rooksill/fleet/gang_target.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // How many of the gang's tasks fit, by target.
-using TargetSpace = std::map<GangTarget, double>;
+using TasksByTarget = std::map<GangTarget, double>;
 
 GangTarget target_in(const model::JobSpec& spec, int partition, const std::string& zone) {
   return {partition, spec.one_zone ? zone : ""};
@@ -19,19 +19,19 @@
 
 // Every partition is a target wherever a machine for the gang can be rented, even without space.
 void add_rentable_targets(const model::JobSpec& spec, const store::Replica& replica,
-                          const CapacityLimits& capacity, TargetSpace& targets) {
+                          const CapacityLimits& capacity_limits, TasksByTarget& targets) {
   for (size_t partition = 0; partition < replica.leases.size(); ++partition)
     for (const auto& [name, type] : replica.types) {
       if (!spec.allows_type(name)) continue;
       for (const auto& zone : type.zones)
-        if (capacity.is_open({{name, false}, zone}) ||
-            (spec.spot && capacity.is_open({{name, true}, zone})))
+        if (capacity_limits.can_request({{name, false}, zone}) ||
+            (spec.spot && capacity_limits.can_request({{name, true}, zone})))
           targets.emplace(target_in(spec, static_cast<int>(partition), zone), 0);
     }
 }
 
 void add_spaces(const model::JobSpec& spec, const std::vector<FreeSpace>& spaces,
-                TargetSpace& targets) {
+                TasksByTarget& targets) {
   for (const FreeSpace& space : spaces) {
     if (space.partition == kAnyPartition || (space.spot && !spec.spot)) continue;
     if (!spec.allows_type(space.type->name)) continue;
@@ -44,17 +44,17 @@
 
 GangTarget choose_gang_target(const model::JobSpec& spec, const std::vector<FreeSpace>& spaces,
                               int only_partition, const store::Replica& replica,
-                              const CapacityLimits& capacity) {
-  TargetSpace targets;
-  add_rentable_targets(spec, replica, capacity, targets);
+                              const CapacityLimits& capacity_limits) {
+  TasksByTarget targets;
+  add_rentable_targets(spec, replica, capacity_limits, targets);
   add_spaces(spec, spaces, targets);
   GangTarget best;
-  double most = -1;
+  double most_tasks = -1;
   for (const auto& [target, tasks] : targets) {
     if (only_partition != kAnyPartition && target.partition != only_partition) continue;
     if (spec.one_zone && !spec.zone.empty() && target.zone != spec.zone) continue;
-    if (tasks <= most) continue;
-    most = tasks;
+    if (tasks <= most_tasks) continue;
+    most_tasks = tasks;
     best = target;
   }
   return best;
--- a/src/rooksill/fleet/gang_target.h
+++ b/src/rooksill/fleet/gang_target.h
@@ -24,6 +24,6 @@
 // partitions is of no use, as one owner places all. With `only_partition` no other is considered.
 GangTarget choose_gang_target(const model::JobSpec& spec, const std::vector<FreeSpace>& spaces,
                               int only_partition, const store::Replica& replica,
-                              const CapacityLimits& capacity);
+                              const CapacityLimits& capacity_limits);
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/job_demand.h
+++ b/src/rooksill/fleet/job_demand.h
@@ -12,7 +12,7 @@
 namespace rooksill::fleet {
 
 // Tasks of one job that found no free space.
-struct WaitingTasks {
+struct PendingTasks {
   const model::Job* job = nullptr;
   uint32_t count = 0;
 };
@@ -21,7 +21,7 @@
 // partitions, to find out how many tasks need another machine. Nothing is placed by this.
 class JobDemand {
  public:
-  JobDemand(const WaitingTasks& waiting, const store::Replica& replica);
+  JobDemand(const PendingTasks& pending, const store::Replica& replica);
 
   // The tasks may only go to this partition.
   void restrict_to_partition(int partition) { partition_ = partition; }
@@ -37,7 +37,7 @@
   uint32_t assign_to(FreeSpace& space);
 
  private:
-  bool allows(const FreeSpace& space) const;
+  bool can_use(const FreeSpace& space) const;
 
   const model::JobSpec& spec_;
   uint32_t unassigned_;
--- a/src/rooksill/fleet/machine_catalog.h
+++ b/src/rooksill/fleet/machine_catalog.h
@@ -34,8 +34,8 @@
   const store::Replica& replica_;
   store::Committer& committer_;
   CloudClient& cloud_;
-  bool request_under_way_ = false;
-  double next_request_ = 0;  // steady clock
+  bool request_in_flight_ = false;
+  double next_request_at_ = 0;  // steady clock
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -15,16 +15,16 @@
 namespace rooksill::fleet {
 
 void MachineLists::start_term() {
-  pending_.clear();
-  removed_.clear();
-  being_written_.clear();
+  pending_additions_.clear();
+  pending_removals_.clear();
+  pages_in_flight_.clear();
 }
 
 void MachineLists::add(const std::vector<std::string>& names, const Offer& offer, int partition) {
   std::vector<PartitionSize> sizes;
   if (partition == kAnyPartition) sizes = partition_sizes(offer);
   for (const auto& name : names) {
-    if (name.empty() || name.size() > model::kMaxName || is_pending(name)) continue;
+    if (name.empty() || name.size() > model::kMaxName || is_addition_pending(name)) continue;
     model::Machine machine;
     machine.name = name;
     machine.type = offer.pool.type;
@@ -36,22 +36,22 @@
       const auto least = std::min_element(sizes.begin(), sizes.end());
       machine.partition = static_cast<int>(least - sizes.begin());
       ++least->of_offer;
-      ++least->all;
+      ++least->total;
     }
-    machine.page = page_with_room(machine.partition);
+    machine.page = page_with_capacity(machine.partition);
     machine.rented = std::floor(context_.now.wall);
-    pending_.emplace(name, std::move(machine));
+    pending_additions_.emplace(name, std::move(machine));
   }
 }
 
 void MachineLists::remove(const std::string& name) {
-  pending_.erase(name);
-  removed_.insert(name);
+  pending_additions_.erase(name);
+  pending_removals_.insert(name);
 }
 
-std::vector<const model::Machine*> MachineLists::pending() const {
+std::vector<const model::Machine*> MachineLists::pending_additions() const {
   std::vector<const model::Machine*> machines;
-  for (const auto& [name, machine] : pending_)
+  for (const auto& [name, machine] : pending_additions_)
     if (replica_.machine(name) == nullptr) machines.push_back(&machine);
   return machines;
 }
@@ -59,9 +59,9 @@
 int MachineLists::count_of(const Offer& offer) const {
   int count = 0;
   for (const auto& [name, machine] : replica_.machines)
-    if (!is_removed(name) && is_of_offer(machine, offer)) ++count;
-  for (const model::Machine* machine : pending())
-    if (!is_removed(machine->name) && is_of_offer(*machine, offer)) ++count;
+    if (!is_removal_pending(name) && is_of_offer(machine, offer)) ++count;
+  for (const model::Machine* machine : pending_additions())
+    if (!is_removal_pending(machine->name) && is_of_offer(*machine, offer)) ++count;
   return count;
 }
 
@@ -70,43 +70,43 @@
   const auto count = [&](const model::Machine& machine) {
     PartitionSize& size = sizes[static_cast<size_t>(machine.partition)];
     if (is_of_offer(machine, offer)) ++size.of_offer;
-    ++size.all;
+    ++size.total;
   };
   for (const auto& [name, machine] : replica_.machines) count(machine);
-  for (const model::Machine* machine : pending()) count(*machine);
+  for (const model::Machine* machine : pending_additions()) count(*machine);
   return sizes;
 }
 
 // The first page of a partition's list that takes another machine; possibly a new one.
-int MachineLists::page_with_room(int partition) const {
+int MachineLists::page_with_capacity(int partition) const {
   const auto& pages = replica_.pages[static_cast<size_t>(partition)];
-  std::vector<size_t> used(pages.size());
-  for (size_t page = 0; page < pages.size(); ++page) used[page] = pages[page].names.size();
-  for (const model::Machine* machine : pending()) {
+  std::vector<size_t> machines_by_page(pages.size());
+  for (size_t page = 0; page < pages.size(); ++page) machines_by_page[page] = pages[page].names.size();
+  for (const model::Machine* machine : pending_additions()) {
     if (machine->partition != partition) continue;
     const auto page = static_cast<size_t>(machine->page);
-    if (used.size() <= page) used.resize(page + 1);
-    ++used[page];
+    if (machines_by_page.size() <= page) machines_by_page.resize(page + 1);
+    ++machines_by_page[page];
   }
-  const size_t most = replica_.machines_per_page();
+  const size_t limit = replica_.machines_per_page();
   const auto free =
-      std::find_if(used.begin(), used.end(), [&](size_t count) { return count < most; });
-  return static_cast<int>(free - used.begin());
+      std::find_if(machines_by_page.begin(), machines_by_page.end(), [&](size_t count) { return count < limit; });
+  return static_cast<int>(free - machines_by_page.begin());
 }
 
-void MachineLists::write() {
+void MachineLists::write_changes() {
   for (const PageId& id : changed_pages())
-    if (being_written_.count(id) == 0) write_page(id);
-  std::erase_if(pending_,
+    if (pages_in_flight_.count(id) == 0) write_page(id);
+  std::erase_if(pending_additions_,
                 [&](const auto& entry) { return replica_.machine(entry.first) != nullptr; });
-  std::erase_if(removed_, [&](const auto& name) { return replica_.machine(name) == nullptr; });
+  std::erase_if(pending_removals_, [&](const auto& name) { return replica_.machine(name) == nullptr; });
 }
 
 std::set<MachineLists::PageId> MachineLists::changed_pages() const {
   std::set<PageId> changed;
-  for (const model::Machine* machine : pending())
+  for (const model::Machine* machine : pending_additions())
     changed.insert({machine->partition, machine->page});
-  for (const auto& name : removed_)
+  for (const auto& name : pending_removals_)
     if (const model::Machine* machine = replica_.machine(name))
       changed.insert({machine->partition, machine->page});
   if (!membership::Upgrade::complete(replica_)) return changed;
@@ -123,20 +123,20 @@
 
 // A page's machines as they are to be: those listed, less the removed ones, and the pending ones as
 // far as the value's limit allows. A pending machine that does not fit is moved to a new page.
-std::map<std::string, model::Machine> MachineLists::planned_page(const PageId& id) {
+std::map<std::string, model::Machine> MachineLists::plan_page(const PageId& id) {
   const auto& pages = replica_.pages[static_cast<size_t>(id.partition)];
   std::map<std::string, model::Machine> machines;
   if (static_cast<size_t>(id.page) < pages.size())
     for (const auto& name : pages[static_cast<size_t>(id.page)].names)
       machines.emplace(name, *replica_.machine(name));
-  for (const auto& name : removed_) machines.erase(name);
-  const size_t most_bytes = context_.settings.platform.state_value_bytes;
-  for (auto& [name, machine] : pending_) {
+  for (const auto& name : pending_removals_) machines.erase(name);
+  const size_t limit_bytes = context_.settings.platform.state_value_bytes;
+  for (auto& [name, machine] : pending_additions_) {
     if (machine.partition != id.partition || machine.page != id.page) continue;
     if (machines.count(name) != 0) continue;
     auto with_machine = machines;
     with_machine.emplace(name, machine);
-    if (wire::encode_machines(with_machine).dump().size() <= most_bytes)
+    if (wire::encode_machines(with_machine).dump().size() <= limit_bytes)
       machines = std::move(with_machine);
     else
       machine.page = static_cast<int>(pages.size());
@@ -148,7 +148,7 @@
   const auto& pages = replica_.pages[static_cast<size_t>(id.partition)];
   const bool exists = static_cast<size_t>(id.page) < pages.size();
   const std::string key = wire::machines_key(id.partition, id.page);
-  std::map<std::string, model::Machine> machines = planned_page(id);
+  std::map<std::string, model::Machine> machines = plan_page(id);
   PageTransaction transaction;
   transaction.pages = {id};
   transaction.keys = {key};
@@ -165,13 +165,13 @@
 void MachineLists::split_page(std::map<std::string, model::Machine>& machines,
                               PageTransaction& transaction) const {
   const PageId split = transaction.pages.front();
-  const size_t most = replica_.machines_per_page();
+  const size_t limit = replica_.machines_per_page();
   int new_page = static_cast<int>(replica_.pages[static_cast<size_t>(split.partition)].size());
-  while (machines.size() > most) {
+  while (machines.size() > limit) {
     std::map<std::string, model::Machine> moved;
-    while (machines.size() > most && moved.size() < most)
+    while (machines.size() > limit && moved.size() < limit)
       moved.insert(machines.extract(std::prev(machines.end())));
-    while (being_written_.count({split.partition, new_page}) != 0) ++new_page;
+    while (pages_in_flight_.count({split.partition, new_page}) != 0) ++new_page;
     const std::string key = wire::machines_key(split.partition, new_page);
     transaction.pages.push_back({split.partition, new_page});
     transaction.keys.push_back(key);
@@ -187,7 +187,7 @@
 void MachineLists::write_page(const PageId& id) {
   PageTransaction transaction = plan_transaction(id);
   const auto unlock = [this, pages = transaction.pages] {
-    for (const PageId& page : pages) being_written_.erase(page);
+    for (const PageId& page : pages) pages_in_flight_.erase(page);
   };
   const auto on_result = [this, unlock,
                           keys = transaction.keys](const store::TransactionResult& result) {
@@ -199,7 +199,7 @@
       unlock();
   };
   if (committer_.commit(transaction.preconditions, std::move(transaction.writes), on_result))
-    being_written_.insert(transaction.pages.begin(), transaction.pages.end());
+    pages_in_flight_.insert(transaction.pages.begin(), transaction.pages.end());
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/machine_lists.h
+++ b/src/rooksill/fleet/machine_lists.h
@@ -37,15 +37,15 @@
   // Takes a released machine out of its list.
   void remove(const std::string& name);
 
-  bool is_pending(const std::string& name) const { return pending_.count(name) != 0; }
-  bool is_removed(const std::string& name) const { return removed_.count(name) != 0; }
+  bool is_addition_pending(const std::string& name) const { return pending_additions_.count(name) != 0; }
+  bool is_removal_pending(const std::string& name) const { return pending_removals_.count(name) != 0; }
   // The pending machines that no list has yet, by name.
-  std::vector<const model::Machine*> pending() const;
+  std::vector<const model::Machine*> pending_additions() const;
   // How many machines of the offer there are, pending ones included and removed ones not.
   int count_of(const Offer& offer) const;
 
   // Writes the pages that have to change and are not being written.
-  void write();
+  void write_changes();
 
  private:
   // A page of a partition's list: one value of the store.
@@ -57,7 +57,7 @@
   // A partition's machines: those of one offer, then all. Compared in this order.
   struct PartitionSize {
     int of_offer = 0;
-    int all = 0;
+    int total = 0;
     auto operator<=>(const PartitionSize&) const = default;
   };
   // The transaction that writes a page, and with it the pages that it is split into.
@@ -69,9 +69,9 @@
   };
 
   std::vector<PartitionSize> partition_sizes(const Offer& offer) const;
-  int page_with_room(int partition) const;
+  int page_with_capacity(int partition) const;
   std::set<PageId> changed_pages() const;
-  std::map<std::string, model::Machine> planned_page(const PageId& id);
+  std::map<std::string, model::Machine> plan_page(const PageId& id);
   PageTransaction plan_transaction(const PageId& id);
   void split_page(std::map<std::string, model::Machine>& machines,
                   PageTransaction& transaction) const;
@@ -80,9 +80,9 @@
   runtime::Context& context_;
   const store::Replica& replica_;
   store::Committer& committer_;
-  std::map<std::string, model::Machine> pending_;  // by name
-  std::set<std::string> removed_;
-  std::set<PageId> being_written_;
+  std::map<std::string, model::Machine> pending_additions_;  // by name
+  std::set<std::string> pending_removals_;
+  std::set<PageId> pages_in_flight_;
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/machine_returns.cc
+++ b/src/rooksill/fleet/machine_returns.cc
@@ -9,14 +9,14 @@
 namespace {
 constexpr size_t kMachinesPerRequest = 100;
 // A confirmed release is remembered for so many times the lag of the cloud's list, and longer.
-constexpr double kRememberedLags = 4;
-constexpr double kRememberedSeconds = 30;
+constexpr double kReleaseRetentionListLags = 4;
+constexpr double kReleaseRetentionSeconds = 30;
 }  // namespace
 
 void MachineReturns::start_term() {
   draining_.clear();
   releasing_.clear();
-  requested_.clear();
+  releases_in_flight_.clear();
 }
 
 void MachineReturns::release(const std::string& name, const std::string& reason) {
@@ -27,18 +27,18 @@
 void MachineReturns::send_releases() {
   std::vector<std::string> names;
   for (const auto& [name, reason] : releasing_)
-    if (requested_.count(name) == 0 && names.size() < kMachinesPerRequest) names.push_back(name);
+    if (releases_in_flight_.count(name) == 0 && names.size() < kMachinesPerRequest) names.push_back(name);
   if (names.empty()) return;
   const bool sent =
       cloud_.post("/hosts/release", wire::encode_release(names),
                   [this, names](const runtime::CallDone& done) { on_response(names, done); });
-  if (sent) requested_.insert(names.begin(), names.end());
+  if (sent) releases_in_flight_.insert(names.begin(), names.end());
 }
 
 void MachineReturns::on_response(const std::vector<std::string>& names,
                                  const runtime::CallDone& done) {
   for (const auto& name : names) {
-    requested_.erase(name);
+    releases_in_flight_.erase(name);
     if (done.status != 200) continue;
     // The response is the proof that the machine and its tasks are gone.
     releasing_.erase(name);
@@ -49,10 +49,10 @@
 }
 
 void MachineReturns::forget_old_releases() {
-  const double remembered =
-      kRememberedLags * context_.settings.platform.cloud_list_lag_s + kRememberedSeconds;
+  const double retention_s =
+      kReleaseRetentionListLags * context_.settings.platform.cloud_list_lag_s + kReleaseRetentionSeconds;
   std::erase_if(released_at_,
-                [&](const auto& entry) { return context_.now.steady - entry.second > remembered; });
+                [&](const auto& entry) { return context_.now.steady - entry.second > retention_s; });
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/machine_returns.h
+++ b/src/rooksill/fleet/machine_returns.h
@@ -34,13 +34,13 @@
 
   const std::set<std::string>& draining() const { return draining_; }
   bool is_draining(const std::string& name) const { return draining_.count(name) != 0; }
-  bool is_releasing(const std::string& name) const { return releasing_.count(name) != 0; }
+  bool is_being_released(const std::string& name) const { return releasing_.count(name) != 0; }
   // Being released, or released and still in a partition's list: it does not count any more.
   bool is_leaving(const std::string& name) const {
-    return is_releasing(name) || lists_.is_removed(name);
+    return is_being_released(name) || lists_.is_removal_pending(name);
   }
   // Released lately: the cloud's list, which lags, may still show it.
-  bool was_released(const std::string& name) const { return released_at_.count(name) != 0; }
+  bool was_recently_released(const std::string& name) const { return released_at_.count(name) != 0; }
 
  private:
   void on_response(const std::vector<std::string>& names, const runtime::CallDone& done);
@@ -50,7 +50,7 @@
   MachineLists& lists_;
   std::set<std::string> draining_;
   std::map<std::string, std::string> releasing_;  // reasons by machine
-  std::set<std::string> requested_;               // in a request that is under way
+  std::set<std::string> releases_in_flight_;               // in a request that is under way
   std::map<std::string, double> released_at_;     // by machine, steady clock
 };
 
--- a/src/rooksill/fleet/machine_review.cc
+++ b/src/rooksill/fleet/machine_review.cc
@@ -4,7 +4,7 @@
 
 namespace {
 // Boot times of its type after which a machine that has not reported is released.
-constexpr double kFailedBootTimes = 4.0;
+constexpr double kFailedBootRatio = 4.0;
 }  // namespace
 
 void MachineReview::release_unusable(const wire::MachineStatusMap& statuses,
@@ -21,22 +21,22 @@
 const char* MachineReview::release_reason(const model::Machine& machine,
                                           const wire::MachineStatus& status,
                                           const std::set<int>& suspect_partitions) {
-  if (failed_to_boot(machine, status)) return "never came up";
-  const bool owner_suspect = suspect_partitions.count(machine.partition) != 0;
-  if (status.silent && !owner_suspect && silent_.claim_release(machine)) return "silent";
+  if (has_failed_to_boot(machine, status)) return "never came up";
+  const bool is_owner_suspect = suspect_partitions.count(machine.partition) != 0;
+  if (status.silent && !is_owner_suspect && unreachable_machines_.claim_release(machine)) return "silent";
   if (status.faulty) return "fails every task";
   if (status.termination_notice && status.tasks == 0) return "to be taken, and empty";
   if (status.draining && returns_.is_draining(machine.name) && status.tasks == 0) return "idle";
   return nullptr;
 }
 
-bool MachineReview::failed_to_boot(const model::Machine& machine,
+bool MachineReview::has_failed_to_boot(const model::Machine& machine,
                                    const wire::MachineStatus& status) const {
   if (status.up || status.tasks != 0) return false;
   const auto type = replica_.types.find(machine.type);
   const double boot_s =
       type != replica_.types.end() ? type->second.boot_s : context_.settings.platform.lease_s;
-  return context_.now.wall - machine.rented > kFailedBootTimes * boot_s;
+  return context_.now.wall - machine.rented > kFailedBootRatio * boot_s;
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/offer.h
+++ b/src/rooksill/fleet/offer.h
@@ -32,6 +32,6 @@
 }
 
 // For log lines.
-inline const char* kind_name(const InstancePool& pool) { return pool.spot ? "spot" : "ordinary"; }
+inline const char* pool_kind_name(const InstancePool& pool) { return pool.spot ? "spot" : "ordinary"; }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr double kPauseReports = 0.3;  // report intervals between two rentals of one offer
+constexpr double kRequestIntervalHeartbeats = 0.3;  // report intervals between two rentals of one offer
 // Requests' worth of one offer that is planned before a dearer offer is used.
-constexpr int kRequestsAhead = 1;
-constexpr double kSmallestShare = 1e-6;
+constexpr int kMaxPlannedRequestsPerOffer = 1;
+constexpr double kMinShare = 1e-6;
 // Prefers, among offers of the same price, the one that is planned least.
-constexpr double kCostOfPlanned = 0.01;
+constexpr double kPlannedCostRatio = 0.01;
 
 // Assigns tasks to one space, and keeps the plan's count of those without one.
 template <typename Plan>
-uint32_t assign(JobDemand& demand, FreeSpace& space, Plan& plan) {
+uint32_t assign_tasks(JobDemand& demand, FreeSpace& space, Plan& plan) {
   const uint32_t assigned = demand.assign_to(space);
   plan.unassigned(demand.spec()) -= assigned;
   return assigned;
@@ -37,18 +37,18 @@
 
 }  // namespace
 
-int OnDemandRentals::Plan::planned(const Offer& offer) const {
+int OnDemandRentals::Plan::planned_count(const Offer& offer) const {
   const auto rental = rentals.find(offer);
   return rental == rentals.end() ? 0 : rental->second.count;
 }
 
-void OnDemandRentals::rent_for(const std::vector<WaitingTasks>& waiting,
+void OnDemandRentals::rent_for(const std::vector<PendingTasks>& pending,
                                const wire::MachineStatusMap& statuses) {
-  if (waiting.empty()) return;
+  if (pending.empty()) return;
   Plan plan;
-  plan.spaces = find_spaces(statuses);
+  plan.spaces = collect_free_spaces(statuses);
   double smallest_request = std::numeric_limits<double>::infinity();
-  for (const WaitingTasks& tasks : waiting) {
+  for (const PendingTasks& tasks : pending) {
     const model::JobSpec& spec = tasks.job->spec;
     smallest_request = std::min(smallest_request, spec.request.cpus);
     plan.unassigned(spec) += tasks.count;
@@ -56,19 +56,19 @@
   std::erase_if(plan.spaces, [&](const FreeSpace& space) {
     return space.free.cpus + model::Resources::kRoundingError < smallest_request;
   });
-  for (const WaitingTasks& tasks : waiting) plan_job(tasks, statuses, plan);
-  request(plan);
+  for (const PendingTasks& tasks : pending) plan_job(tasks, statuses, plan);
+  request_rentals(plan);
 }
 
-std::vector<FreeSpace> OnDemandRentals::find_spaces(const wire::MachineStatusMap& statuses) const {
+std::vector<FreeSpace> OnDemandRentals::collect_free_spaces(const wire::MachineStatusMap& statuses) const {
   std::vector<FreeSpace> spaces;
   for (const auto& [name, machine] : replica_.machines)
-    if (auto space = space_on(machine, statuses)) spaces.push_back(*std::move(space));
-  for (const model::Machine* machine : lists_.pending()) {
+    if (auto space = free_space_on(machine, statuses)) spaces.push_back(*std::move(space));
+  for (const model::Machine* machine : lists_.pending_additions()) {
     const auto type = replica_.types.find(machine->type);
     if (type != replica_.types.end()) spaces.push_back(empty_machine(type->second, *machine));
   }
-  for (const auto& [name, rental] : rentals_.under_way()) {
+  for (const auto& [name, rental] : rentals_.unresolved()) {
     const auto type = replica_.types.find(rental.offer.pool.type);
     if (type == replica_.types.end()) continue;
     for (int i = 0; i < rental.count; ++i)
@@ -79,7 +79,7 @@
 
 // A machine that is up counts with what its owner reports to be free, one that is booting with all
 // it has, until its boot is late.
-std::optional<FreeSpace> OnDemandRentals::space_on(const model::Machine& machine,
+std::optional<FreeSpace> OnDemandRentals::free_space_on(const model::Machine& machine,
                                                    const wire::MachineStatusMap& statuses) const {
   const auto type = replica_.types.find(machine.type);
   if (type == replica_.types.end()) return std::nullopt;
@@ -96,39 +96,39 @@
   return std::nullopt;
 }
 
-JobDemand OnDemandRentals::make_demand(const WaitingTasks& waiting, const Plan& plan) const {
-  const model::JobSpec& spec = waiting.job->spec;
-  JobDemand demand(waiting, replica_);
+JobDemand OnDemandRentals::make_demand(const PendingTasks& pending, const Plan& plan) const {
+  const model::JobSpec& spec = pending.job->spec;
+  JobDemand demand(pending, replica_);
   // A quota too small to be divided lies with one partition: only space there is of use.
   const int partition = quota::undivided_quota_partition(context_.settings, replica_, spec.team)
                             .value_or(kAnyPartition);
   demand.restrict_to_partition(partition);
   if (spec.shape != model::Shape::kGang) return demand;
-  const GangTarget target = choose_gang_target(spec, plan.spaces, partition, replica_, capacity_);
+  const GangTarget target = choose_gang_target(spec, plan.spaces, partition, replica_, capacity_limits_);
   demand.restrict_to_partition(target.partition);
   if (spec.one_zone) demand.restrict_to_zone(target.zone);
   return demand;
 }
 
-void OnDemandRentals::plan_job(const WaitingTasks& waiting, const wire::MachineStatusMap& statuses,
+void OnDemandRentals::plan_job(const PendingTasks& pending, const wire::MachineStatusMap& statuses,
                                Plan& plan) {
-  JobDemand demand = make_demand(waiting, plan);
+  JobDemand demand = make_demand(pending, plan);
   for (FreeSpace& space : plan.spaces) {
     if (demand.unassigned() == 0) break;
-    assign(demand, space, plan);
+    assign_tasks(demand, space, plan);
   }
-  use_draining_machines(demand, statuses, plan);
+  reuse_draining_machines(demand, statuses, plan);
   plan_rentals(demand, plan);
 }
 
 // A machine that was to be returned is kept instead of renting another one.
-void OnDemandRentals::use_draining_machines(JobDemand& demand,
+void OnDemandRentals::reuse_draining_machines(JobDemand& demand,
                                             const wire::MachineStatusMap& statuses, Plan& plan) {
   const std::set<std::string> draining = returns_.draining();
   for (const auto& name : draining) {
     if (demand.unassigned() == 0) break;
-    std::optional<FreeSpace> space = space_on_draining(name, demand.spec(), statuses);
-    if (!space || assign(demand, *space, plan) == 0) continue;
+    std::optional<FreeSpace> space = free_space_on_draining(name, demand.spec(), statuses);
+    if (!space || assign_tasks(demand, *space, plan) == 0) continue;
     context_.info("fleet", "machine {} is kept for waiting tasks", name);
     plan.spaces.push_back(*std::move(space));
     returns_.stop_draining(name);
@@ -136,11 +136,11 @@
 }
 
 // What a draining machine has free, if a task of the job fits in it.
-std::optional<FreeSpace> OnDemandRentals::space_on_draining(
+std::optional<FreeSpace> OnDemandRentals::free_space_on_draining(
     const std::string& name, const model::JobSpec& spec,
     const wire::MachineStatusMap& statuses) const {
   const model::Machine* machine = replica_.machine(name);
-  if (machine == nullptr || returns_.is_releasing(name)) return std::nullopt;
+  if (machine == nullptr || returns_.is_being_released(name)) return std::nullopt;
   const auto status = statuses.find(name);
   if (status == statuses.end() || !status->second.up) return std::nullopt;
   const auto type = replica_.types.find(machine->type);
@@ -155,40 +155,40 @@
 
 void OnDemandRentals::plan_rentals(JobDemand& demand, Plan& plan) const {
   while (demand.unassigned() > 0) {
-    const std::optional<Choice> choice = cheapest_offer(demand, plan);
+    const std::optional<OfferChoice> choice = cheapest_offer(demand, plan);
     if (!choice) break;
     PlannedRental& rental = plan.rentals[choice->offer];
     ++rental.count;
     if (demand.partition() != kAnyPartition) rental.partition = demand.partition();
     plan.spaces.push_back(empty_machine(*choice->type, choice->offer, demand.partition()));
-    if (assign(demand, plan.spaces.back(), plan) == 0) break;
+    if (assign_tasks(demand, plan.spaces.back(), plan) == 0) break;
   }
 }
 
 // The cheapest way to hold what still waits of a job: the price for each task that the machine will
 // have use for, over all jobs that wait.
-std::optional<OnDemandRentals::Choice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
+std::optional<OnDemandRentals::OfferChoice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
                                                                        Plan& plan) const {
   const model::JobSpec& spec = demand.spec();
-  const double useful = 2.0 * plan.unassigned(spec);
-  std::optional<Choice> best;
+  const double max_useful_tasks = 2.0 * plan.unassigned(spec);
+  std::optional<OfferChoice> best;
   double best_cost = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : replica_.types) {
     if (!spec.allows_type(name) || !fits_machine(spec, type)) continue;
-    const double share = std::max(kSmallestShare, type.capacity.share_of(spec.request));
-    const double tasks = std::min(std::max(1.0, std::floor(1 / share)), useful);
+    const double share = std::max(kMinShare, type.capacity.share_of(spec.request));
+    const double tasks = std::min(std::max(1.0, std::floor(1 / share)), max_useful_tasks);
     for (const bool spot : {true, false}) {
       if (spot && !spec.spot) continue;
       const double price = spot ? type.spot_price : type.price;
       for (const auto& zone : type.zones) {
         const Offer offer{{name, spot}, zone};
-        const int planned = plan.planned(offer);
-        if (demand.zone_allowance(zone) == 0 || !capacity_.is_open(offer)) continue;
-        if (planned >= kRequestsAhead * kMaxMachinesPerRental) continue;
-        const double cost = price / tasks * (1 + kCostOfPlanned * planned);
+        const int planned = plan.planned_count(offer);
+        if (demand.zone_allowance(zone) == 0 || !capacity_limits_.can_request(offer)) continue;
+        if (planned >= kMaxPlannedRequestsPerOffer * kMaxMachinesPerRental) continue;
+        const double cost = price / tasks * (1 + kPlannedCostRatio * planned);
         if (cost >= best_cost) continue;
         best_cost = cost;
-        best = Choice{offer, &type};
+        best = OfferChoice{offer, &type};
       }
     }
   }
@@ -197,13 +197,13 @@
 
 // The largest need first, as the cloud takes only so many calls; and at most one call for each
 // offer every few seconds.
-void OnDemandRentals::request(const Plan& plan) {
+void OnDemandRentals::request_rentals(const Plan& plan) {
   std::vector<std::pair<Offer, PlannedRental>> rentals(plan.rentals.begin(), plan.rentals.end());
   std::stable_sort(rentals.begin(), rentals.end(),
                    [](const auto& a, const auto& b) { return a.second.count > b.second.count; });
-  const double pause = kPauseReports * context_.settings.platform.report_s;
+  const double interval_s = kRequestIntervalHeartbeats * context_.settings.platform.report_s;
   for (const auto& [offer, rental] : rentals)
-    if (!rentals_.requested_within(offer, pause))
+    if (!rentals_.was_requested_within(offer, interval_s))
       rentals_.request(offer, rental.count, "on demand", rental.partition);
 }
 
--- a/src/rooksill/fleet/on_demand_rentals.h
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -26,16 +26,16 @@
  public:
   OnDemandRentals(runtime::Context& context, const store::Replica& replica,
                   const MachineLists& lists, MachineReturns& returns,
-                  const CapacityLimits& capacity, Rentals& rentals)
+                  const CapacityLimits& capacity_limits, Rentals& rentals)
       : context_(context),
         replica_(replica),
         lists_(lists),
         returns_(returns),
-        capacity_(capacity),
+        capacity_limits_(capacity_limits),
         rentals_(rentals) {}
 
   // `waiting`: the most important job first.
-  void rent_for(const std::vector<WaitingTasks>& waiting, const wire::MachineStatusMap& statuses);
+  void rent_for(const std::vector<PendingTasks>& pending, const wire::MachineStatusMap& statuses);
 
  private:
   struct PlannedRental {
@@ -52,30 +52,30 @@
     double& unassigned(const model::JobSpec& spec) {
       return spec.spot ? unassigned_spot : unassigned_ordinary;
     }
-    int planned(const Offer& offer) const;
+    int planned_count(const Offer& offer) const;
   };
-  struct Choice {
+  struct OfferChoice {
     Offer offer;
     const model::MachineType* type = nullptr;
   };
 
-  std::vector<FreeSpace> find_spaces(const wire::MachineStatusMap& statuses) const;
-  std::optional<FreeSpace> space_on(const model::Machine& machine,
+  std::vector<FreeSpace> collect_free_spaces(const wire::MachineStatusMap& statuses) const;
+  std::optional<FreeSpace> free_space_on(const model::Machine& machine,
                                     const wire::MachineStatusMap& statuses) const;
-  JobDemand make_demand(const WaitingTasks& waiting, const Plan& plan) const;
-  void plan_job(const WaitingTasks& waiting, const wire::MachineStatusMap& statuses, Plan& plan);
-  void use_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses, Plan& plan);
-  std::optional<FreeSpace> space_on_draining(const std::string& name, const model::JobSpec& spec,
+  JobDemand make_demand(const PendingTasks& pending, const Plan& plan) const;
+  void plan_job(const PendingTasks& pending, const wire::MachineStatusMap& statuses, Plan& plan);
+  void reuse_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses, Plan& plan);
+  std::optional<FreeSpace> free_space_on_draining(const std::string& name, const model::JobSpec& spec,
                                              const wire::MachineStatusMap& statuses) const;
   void plan_rentals(JobDemand& demand, Plan& plan) const;
-  std::optional<Choice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
-  void request(const Plan& plan);
+  std::optional<OfferChoice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
+  void request_rentals(const Plan& plan);
 
   runtime::Context& context_;
   const store::Replica& replica_;
   const MachineLists& lists_;
   MachineReturns& returns_;
-  const CapacityLimits& capacity_;
+  const CapacityLimits& capacity_limits_;
   Rentals& rentals_;
 };
 
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -10,8 +10,8 @@
 constexpr double kMinimumChargeSeconds = 60;  // the cloud charges at least that for a machine
 // A machine with images is worth more, as what starts there starts at once: each image adds so much
 // to the cost of returning it.
-constexpr double kCostOfImage = 0.25;
-constexpr double kNoArrivals = 1e-6;  // λ below which an empty pool is not sized
+constexpr double kImageCostRatio = 0.25;
+constexpr double kMinArrivalRate = 1e-6;  // λ below which an empty pool is not sized
 
 // The scale of c2. What a late start costs follows from how rarely the users allow one.
 double unplanned_cost_factor(const PlatformSettings& platform) {
@@ -48,33 +48,33 @@
                            const std::vector<const model::Machine*>& machines,
                            const wire::MachineStatusMap& statuses, double unplanned_cost_factor) {
   const auto& operators = context_.settings.operators;
-  const policy::Demand& demand = demand_.of(pool);
-  const PoolState state = survey(machines, statuses);
-  const PoolCeiling ceiling = ceiling_of(pool, type);
+  const policy::Demand& demand = demand_.demand_of(pool);
+  const PoolState state = measure_pool(machines, statuses);
+  const PoolLimit limit = limit_of(pool, type);
   policy::SizingInput input;
   input.x = state.rented;
-  input.y = state.busy;
+  input.y = state.busy_machines;
   input.lambda = demand.lambda();
   input.mu = demand.mu();
-  input.ceiling = std::max(ceiling.all, input.x);
+  input.ceiling = std::max(limit.total, input.x);
   input.periods = operators.periods;
   input.c1 = operators.planned_cost;
   input.c2 = operators.unplanned_cost * unplanned_cost_factor;
   input.h = operators.holding_cost;
-  if (input.x == 0 && input.lambda < kNoArrivals) return;
+  if (input.x == 0 && input.lambda < kMinArrivalRate) return;
   const policy::SizingResult result = policy::size_fleet(input);
   context_.info("policy",
                 "{} {}: x {} y {:.2f} lambda {:.3f} mu {:.3f} E[y] {:.2f} E[v] {:.3f} u {} cost "
                 "{:.2f} R {}",
-                kind_name(pool), pool.type, input.x, input.y, input.lambda, input.mu,
+                pool_kind_name(pool), pool.type, input.x, input.y, input.lambda, input.mu,
                 result.expected_y, result.expected_v, result.u, result.cost, input.ceiling);
   if (result.u > 0)
-    rent_planned(pool, type, result.u, ceiling, state.machines_by_zone);
+    rent_planned(pool, type, result.u, limit, state.machines_by_zone);
   else if (result.u < 0)
     drain_machines(pool, type, -result.u, state.candidates);
 }
 
-PoolSizing::PoolState PoolSizing::survey(const std::vector<const model::Machine*>& machines,
+PoolSizing::PoolState PoolSizing::measure_pool(const std::vector<const model::Machine*>& machines,
                                          const wire::MachineStatusMap& statuses) const {
   PoolState state;
   for (const model::Machine* machine : machines) {
@@ -88,48 +88,48 @@
     const wire::MachineStatus& status = found->second;
     if (status.faulty || status.silent || status.termination_notice) continue;
     ++state.rented;
-    state.busy += status.load;
+    state.busy_machines += status.load;
     const double age = context_.now.wall - machine->rented;
     if (!status.up || age <= kMinimumChargeSeconds) continue;
     const auto images = static_cast<double>(status.images.size());
-    state.candidates.push_back({status.load * (1 + kCostOfImage * images), machine});
+    state.candidates.push_back({status.load * (1 + kImageCostRatio * images), machine});
   }
   return state;
 }
 
 // The paper's R: what may be configured, less where the cloud has shown that it has no more.
-PoolSizing::PoolCeiling PoolSizing::ceiling_of(const InstancePool& pool,
+PoolSizing::PoolLimit PoolSizing::limit_of(const InstancePool& pool,
                                                const model::MachineType& type) const {
-  PoolCeiling ceiling;
+  PoolLimit limit;
   for (const auto& zone : type.zones) {
-    const int in_zone = capacity_.ceiling({pool, zone});
-    ceiling.by_zone[zone] = in_zone;
-    ceiling.all += in_zone;
+    const int zone_limit = capacity_limits_.machine_limit({pool, zone});
+    limit.by_zone[zone] = zone_limit;
+    limit.total += zone_limit;
   }
   const int configured = context_.settings.operators.ceiling;
-  if (configured > 0) ceiling.all = std::min(configured, ceiling.all);
-  return ceiling;
+  if (configured > 0) limit.total = std::min(configured, limit.total);
+  return limit;
 }
 
 // One machine after the other, each in the zone that has the fewest.
 void PoolSizing::rent_planned(const InstancePool& pool, const model::MachineType& type, int count,
-                              const PoolCeiling& ceiling,
+                              const PoolLimit& limit,
                               std::map<std::string, int> machines_by_zone) {
-  std::map<std::string, int> wanted;
+  std::map<std::string, int> requests;
   for (int i = 0; i < count; ++i) {
     const std::string* best = nullptr;
     for (const auto& zone : type.zones) {
-      const bool open = capacity_.is_open({pool, zone}) &&
-                        machines_by_zone[zone] < ceiling.by_zone.at(zone) &&
-                        wanted[zone] < kMaxMachinesPerRental;
-      if (open && (best == nullptr || machines_by_zone[zone] < machines_by_zone[*best]))
+      const bool can_request = capacity_limits_.can_request({pool, zone}) &&
+                        machines_by_zone[zone] < limit.by_zone.at(zone) &&
+                        requests[zone] < kMaxMachinesPerRental;
+      if (can_request && (best == nullptr || machines_by_zone[zone] < machines_by_zone[*best]))
         best = &zone;
     }
     if (best == nullptr) break;
     ++machines_by_zone[*best];
-    ++wanted[*best];
+    ++requests[*best];
   }
-  for (const auto& [zone, machines] : wanted) rentals_.request({pool, zone}, machines, "planned");
+  for (const auto& [zone, machines] : requests) rentals_.request({pool, zone}, machines, "planned");
 }
 
 // Idle machines first, then those with the least on them, which are emptied.
@@ -137,17 +137,17 @@
                                 std::vector<ReturnCandidate> candidates) {
   std::sort(candidates.begin(), candidates.end(),
             [](const ReturnCandidate& a, const ReturnCandidate& b) {
-              return a.cost != b.cost ? a.cost < b.cost : a.machine->name < b.machine->name;
+              return a.drain_cost != b.drain_cost ? a.drain_cost < b.drain_cost : a.machine->name < b.machine->name;
             });
-  int left = count;
+  int remaining = count;
   for (const ReturnCandidate& candidate : candidates) {
-    if (left == 0) break;
+    if (remaining == 0) break;
     if (!pool.spot) {
-      if (!floors_.can_spare(*candidate.machine)) continue;
-      floors_.subtract(*candidate.machine, type);
+      if (!zone_reserves_.can_spare(*candidate.machine)) continue;
+      zone_reserves_.subtract(*candidate.machine, type);
     }
     returns_.drain(candidate.machine->name);
-    --left;
+    --remaining;
   }
 }
 
--- a/src/rooksill/fleet/rentals.h
+++ b/src/rooksill/fleet/rentals.h
@@ -18,14 +18,14 @@
 struct RentalRequest {
   enum class State {
     kToSend,    // not sent yet, or to be sent again
-    kUnderWay,  // sent, and not answered yet
+    kInFlight,  // sent, and not answered yet
   };
 
   Offer offer;
   int count = 0;
   int partition = kAnyPartition;  // to which the machines go
   State state = State::kToSend;
-  double next_try = 0;  // steady clock
+  double next_try_at = 0;  // steady clock
   int failed_tries = 0;
 };
 
@@ -34,8 +34,8 @@
 class Rentals {
  public:
   Rentals(runtime::Context& context, CloudClient& cloud, MachineLists& lists,
-          CapacityLimits& capacity)
-      : context_(context), cloud_(cloud), lists_(lists), capacity_(capacity) {}
+          CapacityLimits& capacity_limits)
+      : context_(context), cloud_(cloud), lists_(lists), capacity_limits_(capacity_limits) {}
 
   void start_term(uint64_t term);
 
@@ -46,25 +46,25 @@
   void send();
 
   // All requests without a result, by name.
-  const std::map<std::string, RentalRequest>& under_way() const { return requests_; }
+  const std::map<std::string, RentalRequest>& unresolved() const { return requests_; }
   // Whether a machine of the offer that appears may belong to a request without an answer.
-  bool is_expected(const Offer& offer) const;
+  bool has_request_in_flight(const Offer& offer) const;
   // Whether the offer was last requested less than so long ago.
-  bool requested_within(const Offer& offer, double seconds) const;
+  bool was_requested_within(const Offer& offer, double seconds) const;
 
  private:
   void on_response(const std::string& name, const runtime::CallDone& done);
   // False if the response does not name the machines.
-  bool take_machines(const RentalRequest& request, const runtime::CallDone& done);
+  bool add_rented_machines(const RentalRequest& request, const runtime::CallDone& done);
 
   runtime::Context& context_;
   CloudClient& cloud_;
   MachineLists& lists_;
-  CapacityLimits& capacity_;
+  CapacityLimits& capacity_limits_;
   uint64_t term_ = 0;
-  uint64_t next_number_ = 1;
+  uint64_t next_request_number_ = 1;
   std::map<std::string, RentalRequest> requests_;
-  std::map<Offer, double> last_request_;  // steady clock; outlasts a term
+  std::map<Offer, double> last_request_at_;  // steady clock; outlasts a term
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/unreachable_machines.cc
@@ -1,4 +1,4 @@
-#include "rooksill/fleet/silent_machines.h"
+#include "rooksill/fleet/unreachable_machines.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -10,34 +10,34 @@
 namespace {
 // Machines with replicas are released in batches: the pause between two in report intervals, and
 // the part of all machines that is in one.
-constexpr double kBatchPauseReports = 1.5;
-constexpr double kBatchPart = 0.05;
+constexpr double kBatchIntervalHeartbeats = 1.5;
+constexpr double kBatchRatio = 0.05;
 // A machine that has been silent for this part of its lease does not wait for the next batch.
-constexpr double kLongestWaitLeases = 0.5;
+constexpr double kMaxBatchWaitLeases = 0.5;
 // Leases after which the machines of a cut off zone are released in any case.
-constexpr double kGivenUpLeases = 2;
+constexpr double kForcedReleaseLeases = 2;
 // A zone with fewer machines is never taken for cut off: their silence says nothing of the zone.
-constexpr int kFewestMachinesToJudge = 4;
+constexpr int kMinMachinesToJudgeZone = 4;
 }  // namespace
 
-void SilentMachines::update(const wire::MachineStatusMap& statuses,
+void UnreachableMachines::update(const wire::MachineStatusMap& statuses,
                             const UnreachableZones& unreachable) {
   unreachable_to_owner_ = unreachable.to_owner;
-  std::erase_if(silent_since_, [&](const auto& entry) {
+  std::erase_if(unreachable_since_, [&](const auto& entry) {
     const auto status = statuses.find(entry.first);
     return status == statuses.end() || !status->second.silent;
   });
-  update_cut_off_zones(statuses, unreachable.to_most);
-  update_space(statuses);
+  update_isolated_zones(statuses, unreachable.to_most_owners);
+  update_capacity(statuses);
 }
 
-bool SilentMachines::is_cut_off(const std::string& zone) const {
-  const auto until = cut_off_until_.find(zone);
-  return until != cut_off_until_.end() && until->second > context_.now.steady;
+bool UnreachableMachines::is_isolated(const std::string& zone) const {
+  const auto until = isolated_until_.find(zone);
+  return until != isolated_until_.end() && until->second > context_.now.steady;
 }
 
 // Machines that are booting and not late yet say nothing of their zone.
-std::map<std::string, SilentMachines::ZoneCount> SilentMachines::count_by_zone(
+std::map<std::string, UnreachableMachines::ZoneCount> UnreachableMachines::count_by_zone(
     const wire::MachineStatusMap& statuses) const {
   std::map<std::string, ZoneCount> counts;
   for (const auto& [name, machine] : replica_.machines) {
@@ -48,8 +48,8 @@
     const double age = context_.now.wall - machine.rented;
     if (!status.up && age < model::kLateBoot * type->second.boot_s) continue;
     ZoneCount& count = counts[machine.zone];
-    ++count.all;
-    if (status.silent || !status.up) ++count.silent;
+    ++count.total;
+    if (status.silent || !status.up) ++count.unreachable;
   }
   return counts;
 }
@@ -57,75 +57,75 @@
 // A zone is cut off if most owners say so, or most of its machines are silent. What is rented there
 // would not be heard of either, and is rented elsewhere. Where no machine is left to show that the
 // zone is back, a rental now and then does: being cut off ends after a lease's time.
-void SilentMachines::update_cut_off_zones(const wire::MachineStatusMap& statuses,
-                                          const std::set<std::string>& unreachable_to_most) {
+void UnreachableMachines::update_isolated_zones(const wire::MachineStatusMap& statuses,
+                                          const std::set<std::string>& unreachable_to_most_owners) {
   const std::map<std::string, ZoneCount> counts = count_by_zone(statuses);
-  std::set<std::string> cut_off;
+  std::set<std::string> isolated;
   for (const auto& [zone, count] : counts) {
-    if (count.all < kFewestMachinesToJudge) continue;
-    if (unreachable_to_most.count(zone) != 0 || count.silent * 2 > count.all)
-      cut_off.insert(zone);
-    else if (count.silent * 4 < count.all)
-      cut_off_until_.erase(zone);
+    if (count.total < kMinMachinesToJudgeZone) continue;
+    if (unreachable_to_most_owners.count(zone) != 0 || count.unreachable * 2 > count.total)
+      isolated.insert(zone);
+    else if (count.unreachable * 4 < count.total)
+      isolated_until_.erase(zone);
   }
   // All of them at once: more likely the controllers' own connection.
-  if (cut_off.size() == counts.size()) return;
-  for (const auto& zone : cut_off) {
-    double& until = cut_off_until_[zone];
+  if (isolated.size() == counts.size()) return;
+  for (const auto& zone : isolated) {
+    double& until = isolated_until_[zone];
     if (until <= context_.now.steady)
       context_.info("fleet", "zone {}: cut off, {} of {} machines silent; nothing is rented there",
-                    zone, counts.at(zone).silent, counts.at(zone).all);
+                    zone, counts.at(zone).unreachable, counts.at(zone).total);
     until = context_.now.steady + context_.settings.platform.lease_s;
   }
 }
 
-void SilentMachines::update_space(const wire::MachineStatusMap& statuses) {
-  if (context_.now.steady < next_space_update_) return;
-  next_space_update_ = context_.now.steady + context_.settings.platform.report_s;
+void UnreachableMachines::update_capacity(const wire::MachineStatusMap& statuses) {
+  if (context_.now.steady < next_capacity_update_at_) return;
+  next_capacity_update_at_ = context_.now.steady + context_.settings.platform.report_s;
   free_cpus_ = 0;
-  used_cpus_.fill(0);
+  used_cpus_by_priority_.fill(0);
   for (const auto& [name, status] : statuses) {
     if (replica_.machine(name) == nullptr || !status.up || status.silent) continue;
     free_cpus_ += status.cpus_free;
-    for (size_t priority = 0; priority < used_cpus_.size(); ++priority)
-      used_cpus_[priority] += status.cpus_by_priority[priority];
+    for (size_t priority = 0; priority < used_cpus_by_priority_.size(); ++priority)
+      used_cpus_by_priority_[priority] += status.cpus_by_priority[priority];
   }
 }
 
-bool SilentMachines::claim_release(const model::Machine& machine) {
+bool UnreachableMachines::claim_release(const model::Machine& machine) {
   const double now = context_.now.steady;
-  const double silent_s = now - silent_since_.emplace(machine.name, now).first->second;
+  const double unreachable_s = now - unreachable_since_.emplace(machine.name, now).first->second;
   // Its own owner reports that the zone is unreachable together with the machine's silence; most
   // owners' reports may come later.
-  const bool unreachable = unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
-  if ((unreachable || is_cut_off(machine.zone)) &&
-      !claim_release_in_cut_off_zone(machine, silent_s))
+  const bool is_zone_unreachable = unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
+  if ((is_zone_unreachable || is_isolated(machine.zone)) &&
+      !claim_release_in_isolated_zone(machine, unreachable_s))
     return false;
   if (replica_.load(machine.name).replica_cpus <= 0) return true;
-  return claim_place_in_batch(silent_s);
+  return claim_batch_slot(unreachable_s);
 }
 
 // In a zone that is cut off work goes on until the machines' leases end; to release them would only
 // end it sooner, as there is not as much space elsewhere. After that it starts again as soon as the
 // zone is back, where its images are, unless there is space for it elsewhere by then.
-bool SilentMachines::claim_release_in_cut_off_zone(const model::Machine& machine, double silent_s) {
+bool UnreachableMachines::claim_release_in_isolated_zone(const model::Machine& machine, double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
   // A machine counts as silent only after that time; its lease began before.
-  const double unheard_s = context_.settings.operators.machine_silence_reports * platform.report_s;
-  if (silent_s < platform.lease_s - unheard_s) return false;
+  const double detection_s = context_.settings.operators.machine_silence_reports * platform.report_s;
+  if (unreachable_s < platform.lease_s - detection_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
-  if (load.replica_cpus <= 0 && claim_space_for(load)) return true;
-  return silent_s >= kGivenUpLeases * platform.lease_s || replica_fits_elsewhere(machine);
+  if (load.replica_cpus <= 0 && claim_capacity_for(load)) return true;
+  return unreachable_s >= kForcedReleaseLeases * platform.lease_s || replica_fits_elsewhere(machine);
 }
 
 // Whether the tasks on a machine have space elsewhere, free or in use by lower work that makes room
 // for them; it is theirs then.
-bool SilentMachines::claim_space_for(const store::MachineLoad& load) {
-  size_t highest = 0;
+bool UnreachableMachines::claim_capacity_for(const store::MachineLoad& load) {
+  size_t highest_priority = 0;
   for (const model::TaskRef& task : load.tasks)
-    highest = std::max(highest, static_cast<size_t>(replica_.job(task.job)->spec.priority));
-  const auto lower_end = used_cpus_.begin() + static_cast<std::ptrdiff_t>(highest);
-  if (load.used.cpus > std::accumulate(used_cpus_.begin(), lower_end, free_cpus_)) return false;
+    highest_priority = std::max(highest_priority, static_cast<size_t>(replica_.job(task.job)->spec.priority));
+  const auto lower_end = used_cpus_by_priority_.begin() + static_cast<std::ptrdiff_t>(highest_priority);
+  if (load.used.cpus > std::accumulate(used_cpus_by_priority_.begin(), lower_end, free_cpus_)) return false;
   double needed = load.used.cpus;
   const auto claim_from = [&needed](double& cpus) {
     const double claimed = std::min(cpus, needed);
@@ -133,25 +133,25 @@
     needed -= claimed;
   };
   claim_from(free_cpus_);
-  std::for_each(used_cpus_.begin(), lower_end, claim_from);
+  std::for_each(used_cpus_by_priority_.begin(), lower_end, claim_from);
   return true;
 }
 
 // Whether some replica on a machine of a cut off zone could run in another zone, where lower work
 // makes room for it.
-bool SilentMachines::replica_fits_elsewhere(const model::Machine& machine) const {
+bool UnreachableMachines::replica_fits_elsewhere(const model::Machine& machine) const {
   for (const model::TaskRef& task : replica_.placed_on(machine.name)) {
     const model::Job& job = *replica_.job(task.job);
     const model::JobSpec& spec = job.spec;
     if (spec.shape != model::Shape::kService || job.over()) continue;
     if (spec.one_zone || !spec.zone.empty()) continue;
-    if (!spec.spread || fits_other_zone(job, machine.zone)) return true;
+    if (!spec.spread || has_other_zone_for(job, machine.zone)) return true;
   }
   return false;
 }
 
 // Whether another zone than this may take one more task of a spread job.
-bool SilentMachines::fits_other_zone(const model::Job& job, const std::string& zone) const {
+bool UnreachableMachines::has_other_zone_for(const model::Job& job, const std::string& zone) const {
   std::map<std::string, uint32_t> tasks_by_zone = replica_.tasks_by_zone(job);
   for (const auto& [name, type] : replica_.types)
     for (const auto& other : type.zones)
@@ -162,15 +162,15 @@
 // Several machines with replicas that fall silent together are released some at a time: the images
 // that the first ones' replicas bring to their new machines let the next ones' start at once, and
 // until then those may still be serving. Late in their lease they are about to be killed anyway.
-bool SilentMachines::claim_place_in_batch(double silent_s) {
+bool UnreachableMachines::claim_batch_slot(double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
-  if (context_.now.steady >= next_batch_) {
-    next_batch_ = context_.now.steady + kBatchPauseReports * platform.report_s;
+  if (context_.now.steady >= next_batch_at_) {
+    next_batch_at_ = context_.now.steady + kBatchIntervalHeartbeats * platform.report_s;
     const auto machines = static_cast<double>(replica_.machines.size());
-    left_in_batch_ = std::max(1, static_cast<int>(kBatchPart * machines));
+    remaining_in_batch_ = std::max(1, static_cast<int>(kBatchRatio * machines));
   }
-  if (left_in_batch_ <= 0 && silent_s < kLongestWaitLeases * platform.lease_s) return false;
-  --left_in_batch_;
+  if (remaining_in_batch_ <= 0 && unreachable_s < kMaxBatchWaitLeases * platform.lease_s) return false;
+  --remaining_in_batch_;
   return true;
 }
 
--- a/src/rooksill/fleet/zone_floors.h
+++ b/src/rooksill/fleet/zone_reserves.h
@@ -22,14 +22,14 @@
 // space meanwhile: it makes room for replicas.
 //
 // Only ordinary machines count.
-class ZoneFloors {
+class ZoneReserves {
  public:
-  ZoneFloors(runtime::Context& context, const store::Replica& replica, MachineReturns& returns,
-             const CapacityLimits& capacity, Rentals& rentals)
+  ZoneReserves(runtime::Context& context, const store::Replica& replica, MachineReturns& returns,
+             const CapacityLimits& capacity_limits, Rentals& rentals)
       : context_(context),
         replica_(replica),
         returns_(returns),
-        capacity_(capacity),
+        capacity_limits_(capacity_limits),
         rentals_(rentals) {}
 
   // Adds up what there is and what has to be kept. Called before the questions below.
@@ -39,34 +39,34 @@
   // Counts the space of a machine that is to be returned no more.
   void subtract(const model::Machine& machine, const model::MachineType& type);
   // Where less is left than the floor: keeps a machine that was to be returned, or rents.
-  void top_up();
+  void replenish();
 
  private:
   // In CPUs.
-  struct Space {
+  struct ZoneCapacity {
     double available = 0;  // that no replica uses, on machines that are up or about to be
-    double floor = 0;      // what is kept of it
+    double reserved = 0;      // what is kept of it
   };
-  struct Purchase {
+  struct RentalChoice {
     Offer offer;
     double cpus = 0;  // of one machine
   };
 
-  bool counts(const model::Machine& machine, const wire::MachineStatusMap& statuses) const;
+  bool is_available(const model::Machine& machine, const wire::MachineStatusMap& statuses) const;
   void add_available(const std::string& zone, double cpus);
   void add_rentals();
   void record_largest_replica(const model::Machine& machine,
                               std::map<std::string, double>& largest_by_zone) const;
   bool keep_draining_machine(const std::string& zone);
-  std::optional<Purchase> cheapest(const std::string& zone) const;
-  void rent(const std::string& zone, const Space& space);
+  std::optional<RentalChoice> cheapest_offer(const std::string& zone) const;
+  void rent_shortfall(const std::string& zone, const ZoneCapacity& capacity);
 
   runtime::Context& context_;
   const store::Replica& replica_;
   MachineReturns& returns_;
-  const CapacityLimits& capacity_;
+  const CapacityLimits& capacity_limits_;
   Rentals& rentals_;
-  std::map<std::string, Space> zones_;  // with all zones together under kAllZones
+  std::map<std::string, ZoneCapacity> capacity_by_zone_;  // with all zones together under kAllZones
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -10,7 +10,7 @@
     : fleet_(fleet),
       election_(context, replica, client, committer, peers,
                 {.on_start = [this](uint64_t term) { start_term(term); },
-                 .on_end = [this] { fleet_.stop(); }}),
+                 .on_end = [this] { fleet_.end_term(); }}),
       assigner_(context, replica, committer, peers, owner, election_),
       job_finisher_(replica, committer),
       waiting_work_(context, replica, owner),
@@ -31,8 +31,8 @@
   job_finisher_.finish_jobs();
   router_.refresh(statuses);
   // What waits changes slowly beside the tick: it is summed up only when the fleet asks for it.
-  std::vector<fleet::WaitingTasks> waiting;
-  if (fleet_.wants_waiting()) waiting = waiting_work_.collect();
+  std::vector<fleet::PendingTasks> waiting;
+  if (fleet_.needs_pending_tasks()) waiting = waiting_work_.collect();
   fleet_.tick(statuses, waiting, assigner_.suspect_partitions(), assigner_.unreachable_zones());
   router_.route_next_jobs();
 }
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -221,7 +221,7 @@
     }
   }
   for (const auto& [zone, cut_off] : owners_by_zone)
-    if (cut_off.size() * 2 > owners.size()) unreachable.to_most.insert(zone);
+    if (cut_off.size() * 2 > owners.size()) unreachable.to_most_owners.insert(zone);
   return unreachable;
 }
 
--- a/src/rooksill/leader/partition_assigner.h
+++ b/src/rooksill/leader/partition_assigner.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "rooksill/fleet/silent_machines.h"
+#include "rooksill/fleet/unreachable_machines.h"
 #include "rooksill/leader/election.h"
 #include "rooksill/membership/peers.h"
 #include "rooksill/partition/partition_owner.h"
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -143,7 +143,7 @@
 void Router::send_routes() {
   const double now = context_.now.steady;
   const bool full = now >= next_full_send_;
-  const auto moves = fleet_.take_moves();
+  const auto moves = fleet_.pop_moves();
   const auto transfers = chooser_.decide_transfers(reachable_partitions());
   if (!full && fresh_routes_.empty() && moves.empty() && transfers.empty()) return;
   Messages messages = empty_messages(full);
--- a/src/rooksill/leader/waiting_work.cc
+++ b/src/rooksill/leader/waiting_work.cc
@@ -11,7 +11,7 @@
 // Report periods that a shard has to wait before it counts as lacking room.
 constexpr double kWaitsPerReport = 6;
 
-bool goes_first(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
+bool goes_first(const fleet::PendingTasks& a, const fleet::PendingTasks& b) {
   if (a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
   return a.job->submitted < b.job->submitted;
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-std::vector<fleet::WaitingTasks> WaitingWork::collect() {
-  std::vector<fleet::WaitingTasks> work;
+std::vector<fleet::PendingTasks> WaitingWork::collect() {
+  std::vector<fleet::PendingTasks> work;
   std::map<model::ShardId, double> waiting_since;
   const double now = context_.now.steady;
   const double patience = context_.settings.platform.report_s / kWaitsPerReport;
--- a/src/rooksill/leader/waiting_work.h
+++ b/src/rooksill/leader/waiting_work.h
@@ -23,7 +23,7 @@
   void start_term() { waiting_since_.clear(); }
   // The jobs with waiting tasks, highest priority first, then in order of submission. Jobs that are
   // backing off after failures are left out.
-  std::vector<fleet::WaitingTasks> collect();
+  std::vector<fleet::PendingTasks> collect();
 
  private:
   runtime::Context& context_;
