--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -5,8 +5,8 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr double kOnDemandRoundsPerHeartbeat = 3;   // rounds of on-demand rentals in a report interval
-constexpr double kMoveIntervalHeartbeats = 0.4;  // between two rounds of moves, in report intervals
+constexpr double kOnDemandRoundsPerHeartbeat = 3;   // rounds of on-demand rentals per heartbeat interval
+constexpr double kMoveIntervalHeartbeats = 0.4;  // between two rounds of moves, in heartbeat intervals
 }  // namespace
 
 Fleet::Fleet(runtime::Context& context, store::Replica& replica, store::Committer& committer)
@@ -35,7 +35,8 @@
   returns_.start_term();
   rentals_.start_term(term);
   inventory_.start_term();
-  // What was measured as a follower is used from the first full period on.
+  // The first sizing of the term uses the demand measured as a follower, once a full period of it
+  // is complete.
   next_sizing_at_ =
       std::max(demand_.period_ends_at(), context_.now.steady + context_.settings.platform.report_s);
 }
@@ -44,7 +45,7 @@
   return cloud_.is_leader() && context_.now.steady >= next_on_demand_at_;
 }
 
-// The parts share the cloud's rate limit, so their order decides which requests are sent first.
+// The components share the cloud's rate limit, so their order decides which requests are sent first.
 void Fleet::tick(const wire::MachineStatusMap& statuses, const std::vector<PendingTasks>& pending,
                  const std::set<int>& suspect_partitions, const UnreachableZones& unreachable) {
   if (!cloud_.is_leader()) return;
@@ -76,8 +77,8 @@
   drain_moves_.plan_moves(statuses);
 }
 
-// Not before the cloud's list was read: machines that are still to be adopted would be rented
-// again.
+// Waits until the cloud's list has been read once: machines that are still to be adopted would
+// otherwise be rented a second time.
 void Fleet::size_pools(const wire::MachineStatusMap& statuses) {
   if (context_.now.steady < next_sizing_at_ || !inventory_.is_complete()) return;
   const auto& settings = context_.settings;
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -1,4 +1,5 @@
-// The leader's work on the machines: what is rented, where, and what is returned to the cloud.
+// Management of the machine fleet by the leader: renting machines from the cloud, draining them and
+// releasing them.
 #pragma once
 
 #include <cstdint>
@@ -28,33 +29,40 @@
 
 namespace rooksill::fleet {
 
-// Owns the parts of the fleet's management and runs them in turn with each tick of the leader. What
-// is under way belongs to a term: a new leader starts from the store and the cloud's list.
+// Owns the components of fleet management and runs them in order on each tick of the leader.
+// Requests and plans in progress belong to one term: a new leader starts from the store and the
+// cloud's list of machines.
 class Fleet {
  public:
   Fleet(runtime::Context& context, store::Replica& replica, store::Committer& committer);
 
-  // Called on every controller, so that a new leader has its figures ready.
+  // Count task events and sample machine utilization for the demand estimate. Both are called on
+  // every controller, so that a new leader has an estimate from the start.
   void record_task_events(const std::vector<store::TaskEvent>& events) { demand_.record_events(events); }
   void sample_demand() { demand_.sample(); }
 
+  // Resets the state that belongs to a term and starts to send requests to the cloud.
   void start_term(uint64_t term);
+  // Stops sending requests to the cloud and drops the responses that still arrive.
   void end_term() { cloud_.end_term(); }
 
-  // What follows is for the leader.
+  // The functions below are called on the leader only.
 
-  // Whether the next tick makes use of the waiting tasks; others may be given none.
+  // Returns whether the next tick rents for pending tasks; `pending` may be empty for other ticks.
   bool needs_pending_tasks() const;
-  // `waiting`: the most important job first. `suspect_partitions`: whose owners may have lost the
-  // connection to their machines themselves.
+  // Runs all components once. `statuses`: the machines' statuses as last reported by the partition
+  // owners. `pending`: ordered by importance, the most important job first. `suspect_partitions`:
+  // partitions whose owners may have lost their own connection to the machines, so that their
+  // reports of unreachable machines are ignored. `unreachable`: zones that owners cannot reach.
   void tick(const wire::MachineStatusMap& statuses, const std::vector<PendingTasks>& pending,
             const std::set<int>& suspect_partitions, const UnreachableZones& unreachable);
-  // A machine that reported to a controller without being in any list.
+  // Handles a machine that sent a heartbeat to a controller but is in no partition's list.
   void on_unassigned_machine(const wire::UnassignedMachine& report);
 
-  // Machines on which nothing is to be started.
+  // Returns the machines being drained, on which no task may be started.
   const std::set<std::string>& draining() const { return returns_.draining(); }
-  // What was found out since the last call: moves for the tasks' owners, machines' addresses.
+  // Return the task moves (for the partition owners) and the machine addresses that were collected
+  // since the last call, and clear them.
   std::vector<wire::TaskMove> pop_moves() { return drain_moves_.pop_moves(); }
   std::vector<wire::Address> pop_addresses() { return inventory_.pop_addresses(); }
 
@@ -80,7 +88,7 @@
   DrainMoves drain_moves_;
   ZoneReserves zone_reserves_;
   PoolSizing pool_sizing_;
-  // By the steady clock.
+  // Times of the next rounds, by the steady clock.
   double next_on_demand_at_ = 0;
   double next_moves_at_ = 0;
   double next_sizing_at_ = 0;
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -14,14 +14,15 @@
 
 namespace {
 
-constexpr double kRequestIntervalHeartbeats = 0.3;  // report intervals between two rentals of one offer
-// Requests' worth of one offer that is planned before a dearer offer is used.
+constexpr double kRequestIntervalHeartbeats = 0.3;  // between two requests for one offer
+// Maximum-size requests planned for one offer in a round before a more expensive offer is used.
 constexpr int kMaxPlannedRequestsPerOffer = 1;
-constexpr double kMinShare = 1e-6;
-// Prefers, among offers of the same price, the one that is planned least.
+constexpr double kMinShare = 1e-6;  // of a machine that a task uses; avoids division by zero
+// Cost increase per planned machine of an offer: spreads rentals over offers of the same price.
 constexpr double kPlannedCostRatio = 0.01;
 
-// Assigns tasks to one space, and keeps the plan's count of those without one.
+// Assigns tasks to one free space and updates the plan's count of unassigned tasks. Returns the
+// number of tasks assigned.
 template <typename Plan>
 uint32_t assign_tasks(JobDemand& demand, FreeSpace& space, Plan& plan) {
   const uint32_t assigned = demand.assign_to(space);
@@ -29,7 +30,7 @@
   return assigned;
 }
 
-// Whether one task fits in an empty machine, without allowance for rounding.
+// Returns whether one task fits in an empty machine. Compares without a rounding tolerance.
 bool fits_machine(const model::JobSpec& spec, const model::MachineType& type) {
   return spec.request.cpus <= type.capacity.cpus && spec.request.gpus <= type.capacity.gpus &&
          spec.request.memory_gb <= type.capacity.memory_gb;
@@ -77,8 +78,8 @@
   return spaces;
 }
 
-// A machine that is up counts with what its owner reports to be free, one that is booting with all
-// it has, until its boot is late.
+// Returns the free resources reported by the owner for a machine that is up, and the full capacity
+// for a machine that is booting and not overdue.
 std::optional<FreeSpace> OnDemandRentals::free_space_on(const model::Machine& machine,
                                                    const wire::MachineStatusMap& statuses) const {
   const auto type = replica_.types.find(machine.type);
@@ -99,7 +100,7 @@
 JobDemand OnDemandRentals::make_demand(const PendingTasks& pending, const Plan& plan) const {
   const model::JobSpec& spec = pending.job->spec;
   JobDemand demand(pending, replica_);
-  // A quota too small to be divided lies with one partition: only space there is of use.
+  // A quota too small to be divided is held by a single partition: only space there can be used.
   const int partition = quota::undivided_quota_partition(context_.settings, replica_, spec.team)
                             .value_or(kAnyPartition);
   demand.restrict_to_partition(partition);
@@ -121,7 +122,7 @@
   plan_rentals(demand, plan);
 }
 
-// A machine that was to be returned is kept instead of renting another one.
+// Keeps draining machines that can run the tasks, instead of renting new ones.
 void OnDemandRentals::reuse_draining_machines(JobDemand& demand,
                                             const wire::MachineStatusMap& statuses, Plan& plan) {
   const std::set<std::string> draining = returns_.draining();
@@ -129,13 +130,13 @@
     if (demand.unassigned() == 0) break;
     std::optional<FreeSpace> space = free_space_on_draining(name, demand.spec(), statuses);
     if (!space || assign_tasks(demand, *space, plan) == 0) continue;
-    context_.info("fleet", "machine {} is kept for waiting tasks", name);
+    context_.info("fleet", "drain of machine {} canceled: it can run pending tasks", name);
     plan.spaces.push_back(*std::move(space));
     returns_.stop_draining(name);
   }
 }
 
-// What a draining machine has free, if a task of the job fits in it.
+// Returns the free space on a draining machine if a task of the job fits in it.
 std::optional<FreeSpace> OnDemandRentals::free_space_on_draining(
     const std::string& name, const model::JobSpec& spec,
     const wire::MachineStatusMap& statuses) const {
@@ -165,8 +166,8 @@
   }
 }
 
-// The cheapest way to hold what still waits of a job: the price for each task that the machine will
-// have use for, over all jobs that wait.
+// Returns the offer with the lowest price per task for the job's unassigned tasks. The number of
+// tasks per machine is limited by the unassigned tasks of all jobs, not only of this job.
 std::optional<OnDemandRentals::OfferChoice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
                                                                        Plan& plan) const {
   const model::JobSpec& spec = demand.spec();
@@ -195,8 +196,8 @@
   return best;
 }
 
-// The largest need first, as the cloud takes only so many calls; and at most one call for each
-// offer every few seconds.
+// Requests the largest rentals first, because the cloud limits the rate of calls, and each offer at
+// most once per interval.
 void OnDemandRentals::request_rentals(const Plan& plan) {
   std::vector<std::pair<Offer, PlannedRental>> rentals(plan.rentals.begin(), plan.rentals.end());
   std::stable_sort(rentals.begin(), rentals.end(),
--- a/src/rooksill/fleet/on_demand_rentals.h
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -1,4 +1,4 @@
-// Rentals for tasks that wait (the paper's unplanned rentals).
+// Rentals for pending tasks (the paper's unplanned rentals).
 #pragma once
 
 #include <map>
@@ -20,8 +20,8 @@
 
 namespace rooksill::fleet {
 
-// Requests what the waiting tasks need beyond the free space that there is, is booting or is
-// requested already (docs/design.md, step 6).
+// Requests the machines that the pending tasks need beyond the free space on machines that are up,
+// booting or already requested (docs/design.md, step 6).
 class OnDemandRentals {
  public:
   OnDemandRentals(runtime::Context& context, const store::Replica& replica,
@@ -34,26 +34,28 @@
         capacity_limits_(capacity_limits),
         rentals_(rentals) {}
 
-  // `waiting`: the most important job first.
+  // Plans one round of rentals and requests them. `pending`: the most important job first.
   void rent_for(const std::vector<PendingTasks>& pending, const wire::MachineStatusMap& statuses);
 
  private:
   struct PlannedRental {
-    int count = 0;
-    int partition = kAnyPartition;
+    int count = 0;                  // machines
+    int partition = kAnyPartition;  // to which the machines are to be assigned
   };
-  // What is being decided in one round.
+  // The state of one planning round.
   struct Plan {
-    std::vector<FreeSpace> spaces;  // planned machines included
+    std::vector<FreeSpace> spaces;  // including those of planned machines
     std::map<Offer, PlannedRental> rentals;
-    // Tasks without a space, over all jobs: a machine is chosen to hold these, not one job alone.
-    double unassigned_ordinary = 0;  // of jobs for ordinary machines only
+    // Tasks without free space, over all jobs: a machine type is chosen for all of them, not for
+    // one job alone.
+    double unassigned_ordinary = 0;  // of jobs that allow ordinary machines only
     double unassigned_spot = 0;      // of jobs that may use spot machines
     double& unassigned(const model::JobSpec& spec) {
       return spec.spot ? unassigned_spot : unassigned_ordinary;
     }
     int planned_count(const Offer& offer) const;
   };
+  // An offer with its machine type.
   struct OfferChoice {
     Offer offer;
     const model::MachineType* type = nullptr;
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -7,13 +7,14 @@
 
 namespace {
 
-constexpr double kMinimumChargeSeconds = 60;  // the cloud charges at least that for a machine
-// A machine with images is worth more, as what starts there starts at once: each image adds so much
-// to the cost of returning it.
+constexpr double kMinimumChargeSeconds = 60;  // the cloud's minimum charge for a machine
+// Each cached image raises a machine's drain cost by this ratio, because tasks that use the image
+// start there without a pull.
 constexpr double kImageCostRatio = 0.25;
-constexpr double kMinArrivalRate = 1e-6;  // λ below which an empty pool is not sized
+constexpr double kMinArrivalRate = 1e-6;  // an empty pool with a smaller λ is not sized
 
-// The scale of c2. What a late start costs follows from how rarely the users allow one.
+// Returns the factor for c2, the cost of an unplanned rental. A late start costs the more, the
+// smaller the share of late starts that the wait-time objectives allow: 1 / (1 - share).
 double unplanned_cost_factor(const PlatformSettings& platform) {
   double factor = 1;
   for (const auto& objective : platform.objectives)
@@ -39,7 +40,7 @@
   for (const auto& [name, type] : replica_.types)
     for (const bool spot : {false, true}) {
       const InstancePool pool{name, spot};
-      // The objectives are kept with ordinary machines.
+      // The objectives are met with ordinary machines only.
       size_pool(pool, type, machines[pool], statuses, spot ? 1 : factor);
     }
 }
@@ -97,7 +98,7 @@
   return state;
 }
 
-// The paper's R: what may be configured, less where the cloud has shown that it has no more.
+// Computes the paper's R: the configured limit, or less where the cloud has refused requests.
 PoolSizing::PoolLimit PoolSizing::limit_of(const InstancePool& pool,
                                                const model::MachineType& type) const {
   PoolLimit limit;
@@ -111,7 +112,7 @@
   return limit;
 }
 
-// One machine after the other, each in the zone that has the fewest.
+// Distributes the machines one by one, each to the zone with the fewest machines of the pool.
 void PoolSizing::rent_planned(const InstancePool& pool, const model::MachineType& type, int count,
                               const PoolLimit& limit,
                               std::map<std::string, int> machines_by_zone) {
@@ -132,7 +133,7 @@
   for (const auto& [zone, machines] : requests) rentals_.request({pool, zone}, machines, "planned");
 }
 
-// Idle machines first, then those with the least on them, which are emptied.
+// Drains idle machines first, then those with the lowest drain cost.
 void PoolSizing::drain_machines(const InstancePool& pool, const model::MachineType& type, int count,
                                 std::vector<ReturnCandidate> candidates) {
   std::sort(candidates.begin(), candidates.end(),
--- a/src/rooksill/fleet/pool_sizing.h
+++ b/src/rooksill/fleet/pool_sizing.h
@@ -1,4 +1,4 @@
-// The planned rentals and returns of each period (the paper's leasing rule).
+// Planned rentals and returns of each sizing period (the leasing rule of England and Weissman).
 #pragma once
 
 #include <map>
@@ -19,8 +19,8 @@
 
 namespace rooksill::fleet {
 
-// Once a period each pool is sized by itself: policy::size_fleet says how many machines more or
-// fewer it should have, and this rents them or drains those that are the easiest to empty.
+// Resizes each pool independently once per period: policy::size_fleet computes how many machines to
+// add or remove, and this class rents them or drains the machines that are cheapest to empty.
 class PoolSizing {
  public:
   PoolSizing(runtime::Context& context, const store::Replica& replica, DemandMeter& demand,
@@ -34,22 +34,22 @@
         returns_(returns),
         zone_reserves_(zone_reserves) {}
 
-  // The zone floors must have been measured before.
+  // Resizes all pools. ZoneReserves::measure must have been called before with the same statuses.
   void size_pools(const wire::MachineStatusMap& statuses);
 
  private:
   struct ReturnCandidate {
-    double drain_cost = 0;  // of emptying it, in machines' worth of work
+    double drain_cost = 0;  // load to be moved off, in machines, weighted by cached images
     const model::Machine* machine = nullptr;
   };
-  // What a pool has.
+  // The current state of a pool.
   struct PoolState {
-    int rented = 0;                               // machines to be counted on: the paper's x
-    double busy_machines = 0;                              // machines' worth of tasks on them: the paper's y
-    std::map<std::string, int> machines_by_zone;  // all of them
+    int rented = 0;                               // usable machines and those not reported yet: the paper's x
+    double busy_machines = 0;                              // load on these, in machines: the paper's y
+    std::map<std::string, int> machines_by_zone;  // including unusable ones
     std::vector<ReturnCandidate> candidates;
   };
-  // How many machines a pool can have.
+  // Limits on the number of machines of a pool.
   struct PoolLimit {
     std::map<std::string, int> by_zone;
     int total = 0;
--- a/src/rooksill/fleet/unreachable_machines.cc
+++ b/src/rooksill/fleet/unreachable_machines.cc
@@ -8,15 +8,16 @@
 namespace rooksill::fleet {
 
 namespace {
-// Machines with replicas are released in batches: the pause between two in report intervals, and
-// the part of all machines that is in one.
+// Machines with replicas are released in batches: the interval between two batches, and the ratio
+// of all machines that one batch may contain.
 constexpr double kBatchIntervalHeartbeats = 1.5;
 constexpr double kBatchRatio = 0.05;
-// A machine that has been silent for this part of its lease does not wait for the next batch.
+// A machine that has been unreachable for this part of a lease does not wait for the next batch.
 constexpr double kMaxBatchWaitLeases = 0.5;
-// Leases after which the machines of a cut off zone are released in any case.
+// Lease durations after which an unreachable machine of an isolated zone is released in any case.
 constexpr double kForcedReleaseLeases = 2;
-// A zone with fewer machines is never taken for cut off: their silence says nothing of the zone.
+// A zone with fewer machines is never considered isolated: too few to tell a fault of the zone from
+// faults of single machines.
 constexpr int kMinMachinesToJudgeZone = 4;
 }  // namespace
 
@@ -36,7 +37,7 @@
   return until != isolated_until_.end() && until->second > context_.now.steady;
 }
 
-// Machines that are booting and not late yet say nothing of their zone.
+// Skips machines that are booting and not overdue: they do not show whether the zone is reachable.
 std::map<std::string, UnreachableMachines::ZoneCount> UnreachableMachines::count_by_zone(
     const wire::MachineStatusMap& statuses) const {
   std::map<std::string, ZoneCount> counts;
@@ -54,9 +55,10 @@
   return counts;
 }
 
-// A zone is cut off if most owners say so, or most of its machines are silent. What is rented there
-// would not be heard of either, and is rented elsewhere. Where no machine is left to show that the
-// zone is back, a rental now and then does: being cut off ends after a lease's time.
+// A zone is isolated if most owners report it as unreachable or most of its machines are
+// unreachable. Machines rented there would be unreachable too, so they are rented elsewhere. The
+// isolation expires after a lease's duration: if no machine is left in the zone to show that it is
+// reachable again, a new rental does.
 void UnreachableMachines::update_isolated_zones(const wire::MachineStatusMap& statuses,
                                           const std::set<std::string>& unreachable_to_most_owners) {
   const std::map<std::string, ZoneCount> counts = count_by_zone(statuses);
@@ -68,12 +70,12 @@
     else if (count.unreachable * 4 < count.total)
       isolated_until_.erase(zone);
   }
-  // All of them at once: more likely the controllers' own connection.
+  // If all zones appear isolated, the fault is more likely in the controllers' own connection.
   if (isolated.size() == counts.size()) return;
   for (const auto& zone : isolated) {
     double& until = isolated_until_[zone];
     if (until <= context_.now.steady)
-      context_.info("fleet", "zone {}: cut off, {} of {} machines silent; nothing is rented there",
+      context_.info("fleet", "zone {} is isolated: {} of {} machines unreachable; renting elsewhere",
                     zone, counts.at(zone).unreachable, counts.at(zone).total);
     until = context_.now.steady + context_.settings.platform.lease_s;
   }
@@ -95,8 +97,8 @@
 bool UnreachableMachines::claim_release(const model::Machine& machine) {
   const double now = context_.now.steady;
   const double unreachable_s = now - unreachable_since_.emplace(machine.name, now).first->second;
-  // Its own owner reports that the zone is unreachable together with the machine's silence; most
-  // owners' reports may come later.
+  // The machine's own owner reports the unreachable zone along with the unreachable machine; the
+  // reports of most other owners may arrive later.
   const bool is_zone_unreachable = unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
   if ((is_zone_unreachable || is_isolated(machine.zone)) &&
       !claim_release_in_isolated_zone(machine, unreachable_s))
@@ -105,12 +107,13 @@
   return claim_batch_slot(unreachable_s);
 }
 
-// In a zone that is cut off work goes on until the machines' leases end; to release them would only
-// end it sooner, as there is not as much space elsewhere. After that it starts again as soon as the
-// zone is back, where its images are, unless there is space for it elsewhere by then.
+// Tasks in an isolated zone run until the machines' leases expire. Releasing the machines earlier
+// would only end the tasks sooner, because other zones lack the capacity for all of them. After the
+// expiry the tasks can restart where their images are cached as soon as the zone is reachable again,
+// so a machine is released only if there is capacity elsewhere by then.
 bool UnreachableMachines::claim_release_in_isolated_zone(const model::Machine& machine, double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
-  // A machine counts as silent only after that time; its lease began before.
+  // A machine is reported as unreachable only after this time, and its lease began before.
   const double detection_s = context_.settings.operators.machine_silence_reports * platform.report_s;
   if (unreachable_s < platform.lease_s - detection_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
@@ -118,8 +121,8 @@
   return unreachable_s >= kForcedReleaseLeases * platform.lease_s || replica_fits_elsewhere(machine);
 }
 
-// Whether the tasks on a machine have space elsewhere, free or in use by lower work that makes room
-// for them; it is theirs then.
+// Returns whether the machine's tasks have capacity elsewhere, free or preemptible from tasks of
+// lower priority, and if so reserves it for them.
 bool UnreachableMachines::claim_capacity_for(const store::MachineLoad& load) {
   size_t highest_priority = 0;
   for (const model::TaskRef& task : load.tasks)
@@ -137,8 +140,8 @@
   return true;
 }
 
-// Whether some replica on a machine of a cut off zone could run in another zone, where lower work
-// makes room for it.
+// Returns whether a replica on a machine of an isolated zone may run in another zone, where it can
+// preempt tasks of lower priority.
 bool UnreachableMachines::replica_fits_elsewhere(const model::Machine& machine) const {
   for (const model::TaskRef& task : replica_.placed_on(machine.name)) {
     const model::Job& job = *replica_.job(task.job);
@@ -150,7 +153,7 @@
   return false;
 }
 
-// Whether another zone than this may take one more task of a spread job.
+// Returns whether a zone other than `zone` may run one more task of a spread job.
 bool UnreachableMachines::has_other_zone_for(const model::Job& job, const std::string& zone) const {
   std::map<std::string, uint32_t> tasks_by_zone = replica_.tasks_by_zone(job);
   for (const auto& [name, type] : replica_.types)
@@ -159,9 +162,10 @@
   return false;
 }
 
-// Several machines with replicas that fall silent together are released some at a time: the images
-// that the first ones' replicas bring to their new machines let the next ones' start at once, and
-// until then those may still be serving. Late in their lease they are about to be killed anyway.
+// If many machines with replicas become unreachable together, they are released in batches: the
+// first replicas pull their images to new machines, so that later replicas start there without a
+// pull, and until then the later replicas may still be serving. Machines far into their lease do not
+// wait: their tasks are about to be killed anyway.
 bool UnreachableMachines::claim_batch_slot(double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
   if (context_.now.steady >= next_batch_at_) {
--- a/src/rooksill/fleet/unreachable_machines.h
+++ b/src/rooksill/fleet/unreachable_machines.h
@@ -1,4 +1,4 @@
-// When machines that do not answer are released, and which zones are cut off.
+// Release of unreachable machines, and detection of isolated zones.
 #pragma once
 
 #include <array>
@@ -22,36 +22,39 @@
   auto operator<=>(const PartitionZone&) const = default;
 };
 
-// Zones whose machines do not answer.
+// Zones whose machines cannot be reached by partition owners.
 struct UnreachableZones {
-  std::set<PartitionZone> to_owner;  // those of a partition do not answer its owner
-  std::set<std::string> to_most_owners;     // they do not answer most owners
+  std::set<PartitionZone> to_owner;  // unreachable to the partition's owner
+  std::set<std::string> to_most_owners;     // unreachable to most partition owners
 };
 
-// Decides which silent machines are released, and when. A single one is released at once; of many
-// with replicas a part at a time; those of a zone that is cut off are kept at least until their
-// leases are over, as work goes on there till then.
+// Decides which unreachable machines are released, and when. A single machine is released at once.
+// Many machines with service replicas are released in batches. Machines of an isolated zone, one that
+// the controllers cannot reach as a whole, are kept at least until their leases expire, because their
+// tasks run until then.
 class UnreachableMachines {
  public:
   UnreachableMachines(runtime::Context& context, const store::Replica& replica)
       : context_(context), replica_(replica) {}
 
+  // Clears the isolated zones recorded in a former term.
   void start_term() { isolated_until_.clear(); }
 
-  // Takes in what the owners report now. Called with each tick, before the questions below.
+  // Processes the owners' current reports. Must be called on each tick before the functions below.
   void update(const wire::MachineStatusMap& statuses, const UnreachableZones& unreachable);
 
-  // Whether nothing is to be rented in the zone.
+  // Returns whether the zone is isolated; no machines are rented in an isolated zone.
   bool is_isolated(const std::string& zone) const;
 
-  // Whether the silent machine may be released now. True claims what the release takes: space
-  // elsewhere for its tasks, or a place in the present batch of machines with replicas. The next
-  // machine finds only what is left of these.
+  // Returns whether the unreachable machine may be released now. If so, reserves what the release
+  // needs: capacity elsewhere for its tasks, or a slot in the current batch of machines with
+  // replicas. Later calls see only the remainder.
   [[nodiscard]] bool claim_release(const model::Machine& machine);
 
  private:
+  // Machines of a zone, without those that are booting and not overdue.
   struct ZoneCount {
-    int unreachable = 0;  // or late with their boot
+    int unreachable = 0;  // or overdue to boot
     int total = 0;
   };
 
@@ -70,12 +73,12 @@
   std::set<PartitionZone> unreachable_to_owner_;
   std::map<std::string, double> isolated_until_;  // by zone, steady clock
   std::map<std::string, double> unreachable_since_;   // by machine, steady clock
-  // On machines that are heard: CPUs that are free, and in use by the tasks' priority.
+  // Free CPUs, and used CPUs by the priority of the tasks, on all reachable machines.
   double free_cpus_ = 0;
   std::array<double, model::kPriorities> used_cpus_by_priority_{};
   double next_capacity_update_at_ = 0;  // steady clock
   double next_batch_at_ = 0;         // steady clock
-  int remaining_in_batch_ = 0;         // machines with replicas that may still be released
+  int remaining_in_batch_ = 0;         // machines with replicas that may still be released in this batch
 };
 
 }  // namespace rooksill::fleet
