--- a/src/rooksill/fleet/capacity_limits.cc
+++ b/src/rooksill/fleet/capacity_limits.cc
@@ -5,9 +5,9 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr int kMaxCountedRefusals = 4;       // after which the time of belief grows no more
-constexpr double kLimitHeartbeatsPerRefusal = 5;  // report intervals that a ceiling holds, by refusal
-constexpr double kBlockHeartbeatsPerRefusal = 2;   // and that the offer is not asked for
+constexpr int kMaxCountedRefusals = 4;            // more refusals extend the times below no further
+constexpr double kLimitHeartbeatsPerRefusal = 5;  // time an observed limit is valid
+constexpr double kBlockHeartbeatsPerRefusal = 2;  // time without requests for the offer
 }  // namespace
 
 bool CapacityLimits::can_request(const Offer& offer) const {
--- a/src/rooksill/fleet/capacity_limits.h
+++ b/src/rooksill/fleet/capacity_limits.h
@@ -1,4 +1,4 @@
-// How much of each offer the cloud is likely to have.
+// Estimates of the capacity that the cloud has for each offer.
 #pragma once
 
 #include <map>
@@ -10,33 +10,36 @@
 
 namespace rooksill::fleet {
 
-// The most machines that one rental request may ask for.
+// The limit on the number of machines in one rental request.
 inline constexpr int kMaxMachinesPerRental = 50;
 
-// The cloud does not publish its capacity: a refused request shows it. A refusal is believed for a
-// while, longer each time; otherwise every period would ask in vain, and use up calls that other
-// requests need. Refusals outlast a term: they say something of the cloud, not of the leader.
+// The cloud does not publish its capacity; only a refused request reveals it. A refusal is
+// remembered for a time that grows with each further refusal. Otherwise every sizing period would
+// repeat futile requests and use up the rate limit that other requests need. Refusals are kept
+// across terms, because they describe the cloud and not the leader.
 class CapacityLimits {
  public:
-  CapacityLimits(runtime::Context& context, const MachineLists& lists, const UnreachableMachines& unreachable_machines)
+  CapacityLimits(runtime::Context& context, const MachineLists& lists,
+                 const UnreachableMachines& unreachable_machines)
       : context_(context), lists_(lists), unreachable_machines_(unreachable_machines) {}
 
-  // Whether it makes sense to ask for the offer now: it was not refused lately, and its zone is not
-  // cut off.
+  // Returns whether the offer may be requested now: it was not refused recently and its zone is not
+  // isolated.
   bool can_request(const Offer& offer) const;
-  // How many machines of the offer there can be: as many as when the cloud last gave no more, or
-  // what one more request may ask for.
+  // Returns the estimated limit on machines of the offer: the number at the last refusal, or
+  // without a recent refusal the current number plus one maximum-size request.
   int machine_limit(const Offer& offer) const;
 
-  // The cloud gave fewer machines than were asked for.
+  // Records that the cloud provided fewer machines than requested.
   void record_refusal(const Offer& offer);
-  // The cloud gave some machines.
+  // Records that the cloud provided machines, which discards an observed limit.
   void record_success(const Offer& offer) { observed_limits_.erase(offer); }
 
  private:
+  // The limit that a refusal revealed.
   struct ObservedLimit {
-    int machines = 0;  // how many there were when the cloud gave no more
-    int refusals = 0;  // in a row
+    int machines = 0;       // number of machines of the offer at the refusal
+    int refusals = 0;       // consecutive, counted up to kMaxCountedRefusals
     double expires_at = 0;  // steady clock
   };
 
--- a/src/rooksill/fleet/cloud_client.h
+++ b/src/rooksill/fleet/cloud_client.h
@@ -1,4 +1,4 @@
-// Requests to the cloud's API.
+// HTTP client of the cloud's API.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,23 @@
 
 namespace rooksill::fleet {
 
-// Keeps to the cloud's limit on requests per second, and drops the responses to requests of a
-// former term: what they were to change has been cleared since.
+// Observes the cloud's limit on requests per second. Drops responses to requests of a former term,
+// because the state they refer to has been reset.
 class CloudClient {
  public:
   explicit CloudClient(runtime::Context& context);
 
+  // Accepts responses to requests sent from now on, until the term ends.
   void start_term(uint64_t term);
-  // Until the next term nothing is sent, and no response is taken.
+  // Drops all responses until the next term starts.
   void end_term() { is_leader_ = false; }
+  // Returns whether this controller is the leader.
   bool is_leader() const { return is_leader_; }
-  // Adds to the request budget what came in since the last call.
+  // Adds the requests allowed since the last call to the rate limit's budget.
   void refill_rate_limit() { rate_limit_.refill(context_.now.steady); }
 
-  // Each returns false, and never calls the handler, if the rate limit allows no request now.
-  // A request without a response in time is reported to the handler as status 0.
+  // Send a request. Return false, without ever calling the handler, if the rate limit allows no
+  // request now. If the request times out, the handler receives status 0.
   [[nodiscard]] bool get(const std::string& path, runtime::CallHandler on_response);
   [[nodiscard]] bool post(const std::string& path, const std::string& body,
                           runtime::CallHandler on_response);
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -7,7 +7,8 @@
 namespace rooksill::fleet {
 
 namespace {
-// A machine is adopted once it has been listed for so many times the list's lag.
+// Time for which a machine must have been listed before it is adopted, in multiples of the list's
+// maximum lag.
 constexpr double kAdoptionListLags = 2;
 const std::string kMachinesPerPage = "500";
 }  // namespace
@@ -19,8 +20,9 @@
   unexpected_since_.clear();
 }
 
-// A page that the rate limit or the cloud refuses is asked for again: a list begun anew each time
-// would never be read to its end where that takes more calls than a second allows.
+// Retries only the page that the rate limit or the cloud refused. If each failure restarted the
+// list from the first page, a list that needs more calls than the rate limit allows per second
+// would never be read to its end.
 void CloudInventory::refresh() {
   if (request_in_flight_ || context_.now.steady < next_request_at_) return;
   std::string path = "/hosts?most=" + kMachinesPerPage;
@@ -48,8 +50,9 @@
     return;
   }
   last_listed_name_.clear();
-  // Asked for more often than it changes, the list would take the calls that rentals need.
-  next_request_at_ = context_.now.steady + std::max(platform.report_s, platform.cloud_list_lag_s / 2);
+  // Reading the list more often than it changes would use up the rate limit that rentals need.
+  next_request_at_ =
+      context_.now.steady + std::max(platform.report_s, platform.cloud_list_lag_s / 2);
   process_list();
 }
 
@@ -72,8 +75,9 @@
   unexpected_since_ = std::move(unexpected_since);
 }
 
-// Rented by a request whose response was lost, or that was carried out late; or gone and still
-// listed. It is adopted once it has been listed for longer than the list can lag.
+// Such a machine belongs to a request whose response was lost or that the cloud executed late, or
+// it is gone and the list is stale. It is adopted once it has been listed for longer than the
+// list's maximum lag.
 void CloudInventory::process_unexpected(const wire::ListedMachine& machine, double listed_since) {
   const double lag_s = context_.settings.platform.cloud_list_lag_s;
   if (context_.now.steady - listed_since < kAdoptionListLags * lag_s) return;
@@ -81,7 +85,8 @@
     returns_.release(machine.name, "unexpected and failed");
     return;
   }
-  context_.info("fleet", "machine {} was not expected: adopted", machine.name);
+  context_.info("fleet", "adopting machine {}: listed by the cloud but in no partition",
+                machine.name);
   lists_.add({machine.name}, {{machine.type, machine.spot}, machine.zone});
 }
 
@@ -90,8 +95,8 @@
   if (replica_.machine(name) != nullptr || lists_.is_addition_pending(name)) return;
   if (returns_.was_recently_released(name)) return;
   const Offer offer{{report.type, report.spot}, report.zone};
-  if (rentals_.has_request_in_flight(offer)) return;  // the response will name it
-  context_.info("fleet", "machine {} reports and is in no partition: adopted", name);
+  if (rentals_.has_request_in_flight(offer)) return;  // it will be added with the response
+  context_.info("fleet", "adopting machine {}: it sends heartbeats but is in no partition", name);
   addresses_[name] = report.address;
   lists_.add({name}, offer);
 }
--- a/src/rooksill/fleet/cloud_inventory.h
+++ b/src/rooksill/fleet/cloud_inventory.h
@@ -1,4 +1,4 @@
-// What machines the cloud says there are.
+// The cloud's list of rented machines.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 
 namespace rooksill::fleet {
 
-// Reads the cloud's list page by page and compares it with the partitions' lists. Machines that
-// nobody expected, such as those of a request whose response was lost, are adopted: they cost money
-// whether they are used or not.
+// Reads the cloud's list page by page and compares it with the partitions' lists. Machines in no
+// partition's list, such as those of a request whose response was lost, are adopted, that is, added
+// to a partition: they cost money whether they are used or not.
 class CloudInventory {
  public:
   CloudInventory(runtime::Context& context, const store::Replica& replica, CloudClient& cloud,
@@ -32,21 +32,24 @@
         returns_(returns),
         rentals_(rentals) {}
 
+  // Restarts reading from the first page.
   void start_term();
-  // Asks for the next page if that is due.
+  // Requests the next page if it is due.
   void refresh();
-  // Whether a whole list has been read in this term.
+  // Returns whether the whole list has been read at least once in this term.
   bool is_complete() const { return is_complete_; }
-  // Adopts a machine that reported to a controller without being in any list, unless it is likely
-  // that of a rental under way.
+  // Adopts a machine that sent a heartbeat to a controller but is in no list, unless it may belong
+  // to a rental request in flight.
   void on_unassigned_machine(const wire::UnassignedMachine& report);
-  // Addresses learned since the last call, by machine name.
+  // Returns the machine addresses received since the last call, ordered by machine, and clears
+  // them.
   std::vector<wire::Address> pop_addresses();
 
  private:
   void on_response(const runtime::CallDone& done);
   void process_list();
-  // A listed machine that is in no partition's list.
+  // Adopts or releases a machine of the cloud's list that is in no partition's list, once it has
+  // been listed for long enough. `listed_since`: steady clock.
   void process_unexpected(const wire::ListedMachine& machine, double listed_since);
 
   runtime::Context& context_;
@@ -57,9 +60,10 @@
   const Rentals& rentals_;
   bool request_in_flight_ = false;
   bool is_complete_ = false;
-  double next_request_at_ = 0;                  // steady clock
-  std::vector<wire::ListedMachine> listed_machines_;  // the pages read so far
-  std::string last_listed_name_;                    // the last machine of these; empty: none is read
+  double next_request_at_ = 0;                        // steady clock
+  std::vector<wire::ListedMachine> listed_machines_;  // of the pages read so far
+  std::string
+      last_listed_name_;  // of these machines, from where the next page starts; empty: first page
   std::map<std::string, double> unexpected_since_;  // by machine, steady clock
   std::map<std::string, std::string> addresses_;    // by machine
 };
--- a/src/rooksill/fleet/demand_meter.cc
+++ b/src/rooksill/fleet/demand_meter.cc
@@ -31,7 +31,8 @@
   if (now - last_sample_at_ < heartbeat_s / kSamplesPerHeartbeat) return;
   const double elapsed_s = last_sample_at_ > 0 ? now - last_sample_at_ : 0;
   last_sample_at_ = now;
-  for (const auto& [pool, machines] : busy_machines()) demand_[pool].record_busy(machines, elapsed_s);
+  for (const auto& [pool, machines] : busy_machines())
+    demand_[pool].record_busy(machines, elapsed_s);
   if (now < period_ends_at_) return;
   const auto& operators = context_.settings.operators;
   const double period_s = operators.period_reports * heartbeat_s;
@@ -40,7 +41,8 @@
   period_ends_at_ = now + period_s;
 }
 
-// By what the store says is on the machines, which every controller knows.
+// Returns the load of each pool, in machines, from the placements in the store, which every
+// controller has.
 std::map<InstancePool, double> DemandMeter::busy_machines() const {
   std::map<InstancePool, double> busy;
   for (const auto& [name, machine] : replica_.machines) {
--- a/src/rooksill/fleet/demand_meter.h
+++ b/src/rooksill/fleet/demand_meter.h
@@ -1,4 +1,4 @@
-// What demand there is for machines, by pool.
+// Measurement of the demand for machines of each pool.
 #pragma once
 
 #include <map>
@@ -11,20 +11,22 @@
 
 namespace rooksill::fleet {
 
-// Measures the arrival and service rates of each pool from the changes of the store. Every
-// controller measures, so that a new leader has its figures ready.
+// Measures the arrival and service rates of each pool from the changes of the store. Runs on every
+// controller, so that a new leader has an estimate from the start.
 class DemandMeter {
  public:
   DemandMeter(runtime::Context& context, const store::Replica& replica)
       : context_(context), replica_(replica) {}
 
-  // Counts tasks that were placed or have finished.
+  // Records first placements and completions of tasks.
   void record_events(const std::vector<store::TaskEvent>& events);
-  // Called with each tick: adds how busy the machines are, and ends the period when it is over.
+  // Samples the machines' utilization and, at the end of a period, updates the averages. Called on
+  // each tick; ticks between two samples have no effect.
   void sample();
 
+  // Returns the pool's demand, zero for an unknown pool.
   const policy::Demand& demand_of(const InstancePool& pool) { return demand_[pool]; }
-  // When the present period ends, by the steady clock.
+  // Returns the end of the current period, by the steady clock.
   double period_ends_at() const { return period_ends_at_; }
 
  private:
@@ -33,8 +35,8 @@
   runtime::Context& context_;
   const store::Replica& replica_;
   std::map<InstancePool, policy::Demand> demand_;
-  double last_sample_at_ = 0;  // steady clock; 0: none yet
-  double period_ends_at_ = 0;   // 0: no period has begun
+  double last_sample_at_ = 0;  // steady clock; 0: no sample yet
+  double period_ends_at_ = 0;  // steady clock; 0: no period has started
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -17,10 +17,11 @@
 
 constexpr int kReplicaMovesPerRound = 1;
 constexpr int kArrayTaskMovesPerRound = 3;
-constexpr double kExtraMovesPerMachine = 0.02;  // more of either in a round, for each machine there is
+constexpr double kExtraMovesPerMachine =
+    0.02;  // additional moves of each kind, per machine of the fleet
 constexpr int kChecksPerRound = 48;
 
-// Unlike Resources::fits_in without allowance for rounding.
+// Unlike Resources::fits_in, compares without a rounding tolerance.
 bool has_capacity_for(const wire::MachineStatus& status, const model::Resources& request) {
   const model::Resources free = free_resources(status);
   return request.cpus <= free.cpus && request.memory_gb <= free.memory_gb &&
@@ -57,14 +58,16 @@
     if (moves_left <= 0 || budget.checks <= 0 || !can_move(job)) continue;
     --budget.checks;
     if (!has_target(job, from, statuses)) continue;
-    context_.debug("fleet", "task {} is moved off {}", wire::task_name(task), from.name);
+    context_.debug("fleet", "moving task {} off draining machine {}", wire::task_name(task),
+                   from.name);
     moves_.push_back({task.job, task.index, replica_.task(task)->attempt});
     --moves_left;
   }
 }
 
-// A service's replica only while all others are placed, and an array's task only if it saves its
-// progress. A gang would be lost whole with one task; gangs are left to finish.
+// Allows moves of a service's replica only while all its replicas are placed, and of an array's
+// task only if it saves checkpoints. Stopping one task of a gang would end the whole gang, so gangs
+// are left to finish.
 bool DrainMoves::can_move(const model::Job& job) const {
   if (job.over()) return false;
   switch (job.spec.shape) {
@@ -78,8 +81,8 @@
   return false;
 }
 
-// Whether a task could start elsewhere at once: the image is there already, so that the move costs
-// a few messages' time.
+// Returns whether another machine has capacity for the task and its image in the cache, so that the
+// move takes no longer than a few messages.
 bool DrainMoves::has_target(const model::Job& job, const model::Machine& from,
                             const wire::MachineStatusMap& statuses) const {
   const model::JobSpec& spec = job.spec;
--- a/src/rooksill/fleet/drain_moves.h
+++ b/src/rooksill/fleet/drain_moves.h
@@ -1,4 +1,4 @@
-// Moves of tasks off machines that are being drained.
+// Moves of tasks off draining machines.
 #pragma once
 
 #include <string>
@@ -14,25 +14,26 @@
 
 namespace rooksill::fleet {
 
-// Moves replicas a few at a time, so that users hardly notice, and likewise tasks that save their
-// progress. Tasks that would lose their work are left to finish. The machines take turns.
+// Plans moves of service replicas, a few per round to limit the disruption of services, and of
+// array tasks that save checkpoints. Tasks that would lose their work are left to finish. Draining
+// machines are processed round-robin.
 class DrainMoves {
  public:
   DrainMoves(runtime::Context& context, const store::Replica& replica,
              const MachineReturns& returns)
       : context_(context), replica_(replica), returns_(returns) {}
 
-  // Plans the next moves.
+  // Plans the next round of moves.
   void plan_moves(const wire::MachineStatusMap& statuses);
-  // The moves planned since the last call.
+  // Returns the moves planned since the last call and clears them.
   std::vector<wire::TaskMove> pop_moves() { return std::exchange(moves_, {}); }
 
  private:
-  // How many tasks may still be moved, and looked at, in one round.
+  // Remaining limits of one round.
   struct Budget {
-    int replicas = 0;
-    int array_tasks = 0;
-    int checks = 0;
+    int replicas = 0;     // moves of service replicas
+    int array_tasks = 0;  // moves of array tasks
+    int checks = 0;       // tasks for which a target machine is searched
     bool is_exhausted() const { return checks <= 0 || replicas + array_tasks <= 0; }
   };
 
@@ -46,7 +47,7 @@
   const store::Replica& replica_;
   const MachineReturns& returns_;
   std::vector<wire::TaskMove> moves_;
-  std::string last_checked_machine_;  // whose tasks were looked at
+  std::string last_checked_machine_;  // the round-robin position
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -5,8 +5,10 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr double kOnDemandRoundsPerHeartbeat = 3;   // rounds of on-demand rentals per heartbeat interval
-constexpr double kMoveIntervalHeartbeats = 0.4;  // between two rounds of moves, in heartbeat intervals
+constexpr double kOnDemandRoundsPerHeartbeat =
+    3;  // rounds of on-demand rentals per heartbeat interval
+constexpr double kMoveIntervalHeartbeats =
+    0.4;  // between two rounds of moves, in heartbeat intervals
 }  // namespace
 
 Fleet::Fleet(runtime::Context& context, store::Replica& replica, store::Committer& committer)
@@ -25,7 +27,8 @@
       on_demand_(context, replica, lists_, returns_, capacity_limits_, rentals_),
       drain_moves_(context, replica, returns_),
       zone_reserves_(context, replica, returns_, capacity_limits_, rentals_),
-      pool_sizing_(context, replica, demand_, capacity_limits_, rentals_, returns_, zone_reserves_) {}
+      pool_sizing_(context, replica, demand_, capacity_limits_, rentals_, returns_,
+                   zone_reserves_) {}
 
 void Fleet::start_term(uint64_t term) {
   cloud_.start_term(term);
@@ -45,7 +48,8 @@
   return cloud_.is_leader() && context_.now.steady >= next_on_demand_at_;
 }
 
-// The components share the cloud's rate limit, so their order decides which requests are sent first.
+// The components share the cloud's rate limit, so their order decides which requests are sent
+// first.
 void Fleet::tick(const wire::MachineStatusMap& statuses, const std::vector<PendingTasks>& pending,
                  const std::set<int>& suspect_partitions, const UnreachableZones& unreachable) {
   if (!cloud_.is_leader()) return;
@@ -66,14 +70,16 @@
 void Fleet::rent_on_demand(const wire::MachineStatusMap& statuses,
                            const std::vector<PendingTasks>& pending) {
   if (context_.now.steady < next_on_demand_at_ || replica_.types.empty()) return;
-  next_on_demand_at_ = context_.now.steady + context_.settings.platform.report_s / kOnDemandRoundsPerHeartbeat;
+  next_on_demand_at_ =
+      context_.now.steady + context_.settings.platform.report_s / kOnDemandRoundsPerHeartbeat;
   on_demand_.rent_for(pending, statuses);
   rentals_.send();
 }
 
 void Fleet::move_off_draining(const wire::MachineStatusMap& statuses) {
   if (context_.now.steady < next_moves_at_) return;
-  next_moves_at_ = context_.now.steady + kMoveIntervalHeartbeats * context_.settings.platform.report_s;
+  next_moves_at_ =
+      context_.now.steady + kMoveIntervalHeartbeats * context_.settings.platform.report_s;
   drain_moves_.plan_moves(statuses);
 }
 
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -38,7 +38,9 @@
 
   // Count task events and sample machine utilization for the demand estimate. Both are called on
   // every controller, so that a new leader has an estimate from the start.
-  void record_task_events(const std::vector<store::TaskEvent>& events) { demand_.record_events(events); }
+  void record_task_events(const std::vector<store::TaskEvent>& events) {
+    demand_.record_events(events);
+  }
   void sample_demand() { demand_.sample(); }
 
   // Resets the state that belongs to a term and starts to send requests to the cloud.
--- a/src/rooksill/fleet/free_space.h
+++ b/src/rooksill/fleet/free_space.h
@@ -1,4 +1,4 @@
-// Free space for tasks on machines that are there, on their way or requested.
+// Free resources for tasks on machines that are up, booting or requested.
 #pragma once
 
 #include <string>
@@ -10,20 +10,21 @@
 
 namespace rooksill::fleet {
 
-// What is free on one machine.
+// The free resources of one machine, with the properties that restrict which tasks may use them.
 struct FreeSpace {
   const model::MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
   model::Resources free;
-  int partition = kAnyPartition;  // kAnyPartition: a requested machine that may go to any
+  int partition = kAnyPartition;  // kAnyPartition: of a requested machine not yet assigned
 };
 
+// Returns the free resources that the machine's owner reports.
 inline model::Resources free_resources(const wire::MachineStatus& status) {
   return {status.cpus_free, status.gpus_free, status.memory_free};
 }
 
-// A machine of the offer without any task.
+// Return the free space of a machine without tasks: of one to be rented, or of an existing one.
 inline FreeSpace empty_machine(const model::MachineType& type, const Offer& offer, int partition) {
   return {&type, offer.zone, offer.pool.spot, type.capacity, partition};
 }
--- a/src/rooksill/fleet/gang_target.cc
+++ b/src/rooksill/fleet/gang_target.cc
@@ -10,14 +10,15 @@
 
 namespace {
 
-// How many of the gang's tasks fit, by target.
+// The number of the gang's tasks that fit in the free space of each target.
 using TasksByTarget = std::map<GangTarget, double>;
 
 GangTarget target_in(const model::JobSpec& spec, int partition, const std::string& zone) {
   return {partition, spec.one_zone ? zone : ""};
 }
 
-// Every partition is a target wherever a machine for the gang can be rented, even without space.
+// Adds every partition, with each zone where a machine for the gang can be rented, as a target with
+// no free space.
 void add_rentable_targets(const model::JobSpec& spec, const store::Replica& replica,
                           const CapacityLimits& capacity_limits, TasksByTarget& targets) {
   for (size_t partition = 0; partition < replica.leases.size(); ++partition)
--- a/src/rooksill/fleet/gang_target.h
+++ b/src/rooksill/fleet/gang_target.h
@@ -1,4 +1,4 @@
-// Where a gang's tasks find space together.
+// Choice of a partition and zone for all tasks of a gang.
 #pragma once
 
 #include <compare>
@@ -13,15 +13,17 @@
 
 namespace rooksill::fleet {
 
+// The partition and zone in which a gang is to be placed.
 struct GangTarget {
   int partition = kAnyPartition;
-  std::string zone;  // empty: any
+  std::string zone;  // empty: any zone
   auto operator<=>(const GangTarget&) const = default;
 };
 
-// The partition, and for a job in one zone the zone, with space for all of a gang's tasks, or else
-// with the most of it where more can be rented. Space for a part of them in each of several
-// partitions is of no use, as one owner places all. With `only_partition` no other is considered.
+// Returns the partition, and for a one-zone job also the zone, with free space for the most of the
+// gang's tasks, among those that have free space or where machines can be rented. Free space
+// divided among several partitions cannot be used, because a single owner places all tasks. Unless
+// `only_partition` is kAnyPartition, no other partition is considered.
 GangTarget choose_gang_target(const model::JobSpec& spec, const std::vector<FreeSpace>& spaces,
                               int only_partition, const store::Replica& replica,
                               const CapacityLimits& capacity_limits);
--- a/src/rooksill/fleet/job_demand.h
+++ b/src/rooksill/fleet/job_demand.h
@@ -1,4 +1,4 @@
-// The waiting tasks of one job, and where they may run.
+// The pending tasks of one job, and where they may run.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,31 @@
 
 namespace rooksill::fleet {
 
-// Tasks of one job that found no free space.
+// The number of tasks of one job that could not be placed for lack of free space.
 struct PendingTasks {
   const model::Job* job = nullptr;
   uint32_t count = 0;
 };
 
-// Assigns a job's waiting tasks to free spaces in thought, within the job's bounds on zones and
-// partitions, to find out how many tasks need another machine. Nothing is placed by this.
+// Simulates the placement of a job's pending tasks on free space, within the job's constraints on
+// zones and partitions, to determine how many tasks need another machine. No task is placed.
 class JobDemand {
  public:
   JobDemand(const PendingTasks& pending, const store::Replica& replica);
 
-  // The tasks may only go to this partition.
+  // Restrict the tasks to this partition or zone.
   void restrict_to_partition(int partition) { partition_ = partition; }
   void restrict_to_zone(const std::string& zone) { zone_ = zone; }
 
   const model::JobSpec& spec() const { return spec_; }
-  int partition() const { return partition_; }  // kAnyPartition: any
-  // Tasks that have no space yet.
+  // Returns the partition that the tasks are restricted to, or kAnyPartition.
+  int partition() const { return partition_; }
+  // Returns the number of tasks not assigned to free space.
   uint32_t unassigned() const { return unassigned_; }
-  // How many more tasks may go to the zone.
+  // Returns how many more tasks may run in the zone.
   uint32_t zone_allowance(const std::string& zone) const;
-  // Takes as much of the space as the tasks can use. Returns the number of tasks assigned to it.
+  // Assigns as many tasks as possible to the free space and subtracts their resources from it.
+  // Returns the number of tasks assigned.
   uint32_t assign_to(FreeSpace& space);
 
  private:
@@ -42,8 +44,9 @@
   const model::JobSpec& spec_;
   uint32_t unassigned_;
   int partition_ = kAnyPartition;
-  std::string zone_;                               // the only one allowed; empty: any
-  std::map<std::string, uint32_t> tasks_by_zone_;  // running and assigned; of bounded jobs only
+  std::string zone_;  // the only zone allowed; empty: any
+  std::map<std::string, uint32_t>
+      tasks_by_zone_;  // placed and assigned; placed only if the job restricts zones
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/machine_catalog.cc
+++ b/src/rooksill/fleet/machine_catalog.cc
@@ -12,10 +12,10 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr double kRefreshHeartbeats = 20;      // report intervals between two requests
+constexpr double kRefreshHeartbeats = 20;   // between two requests
 constexpr double kStoreRetrySeconds = 0.3;  // after a transaction that was not applied
 
-// A type's name becomes part of a store key.
+// A type's name is part of a store key, which limits its length and characters.
 bool is_valid_type_name(const std::string& name) {
   return !name.empty() && name.find(' ') == std::string::npos && name.size() <= model::kMaxName;
 }
@@ -37,7 +37,8 @@
   const auto types = wire::parse_catalog(done.body);
   const bool answered = done.status == 200 && types;
   const double heartbeat_s = context_.settings.platform.report_s;
-  next_request_at_ = context_.now.steady + (answered ? kRefreshHeartbeats * heartbeat_s : heartbeat_s / 3);
+  next_request_at_ =
+      context_.now.steady + (answered ? kRefreshHeartbeats * heartbeat_s : heartbeat_s / 3);
   if (answered) store_types(*types);
 }
 
@@ -53,7 +54,7 @@
   if (!sent) retry_soon();
 }
 
-// As many as one transaction holds; the others follow with the next refresh.
+// Returns as many changed types as one transaction may write; the next refresh writes the others.
 std::vector<store::Write> MachineCatalog::changed_types(
     const std::vector<model::MachineType>& types) const {
   std::vector<store::Write> writes;
--- a/src/rooksill/fleet/machine_catalog.h
+++ b/src/rooksill/fleet/machine_catalog.h
@@ -1,4 +1,4 @@
-// The cloud's catalogue of machine types.
+// The cloud's catalog of machine types.
 #pragma once
 
 #include <vector>
@@ -13,16 +13,17 @@
 
 namespace rooksill::fleet {
 
-// Copies the catalogue into the store, from which all controllers read it. Only the leader writes:
-// each transaction is guarded by the leader's key.
+// Copies the catalog into the store, from which all controllers read it. Only the leader writes:
+// each transaction has the leader key as a precondition.
 class MachineCatalog {
  public:
   MachineCatalog(runtime::Context& context, const store::Replica& replica,
                  store::Committer& committer, CloudClient& cloud)
       : context_(context), replica_(replica), committer_(committer), cloud_(cloud) {}
 
+  // Makes a refresh due.
   void start_term();
-  // Asks the cloud for the catalogue if that is due.
+  // Requests the catalog from the cloud if a refresh is due.
   void refresh();
 
  private:
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -32,7 +32,8 @@
     machine.spot = offer.pool.spot;
     machine.partition = partition;
     if (partition == kAnyPartition) {
-      // Each partition spans the zones: the one with the fewest of this offer, then the smallest.
+      // Balances each offer over the partitions, so that every partition spans all zones; ties are
+      // broken by the total number of machines.
       const auto least = std::min_element(sizes.begin(), sizes.end());
       machine.partition = static_cast<int>(least - sizes.begin());
       ++least->of_offer;
@@ -77,11 +78,13 @@
   return sizes;
 }
 
-// The first page of a partition's list that takes another machine; possibly a new one.
+// Returns the first page of a partition's list that has capacity for another machine, which may be
+// a new page.
 int MachineLists::page_with_capacity(int partition) const {
   const auto& pages = replica_.pages[static_cast<size_t>(partition)];
   std::vector<size_t> machines_by_page(pages.size());
-  for (size_t page = 0; page < pages.size(); ++page) machines_by_page[page] = pages[page].names.size();
+  for (size_t page = 0; page < pages.size(); ++page)
+    machines_by_page[page] = pages[page].names.size();
   for (const model::Machine* machine : pending_additions()) {
     if (machine->partition != partition) continue;
     const auto page = static_cast<size_t>(machine->page);
@@ -89,8 +92,8 @@
     ++machines_by_page[page];
   }
   const size_t limit = replica_.machines_per_page();
-  const auto free =
-      std::find_if(machines_by_page.begin(), machines_by_page.end(), [&](size_t count) { return count < limit; });
+  const auto free = std::find_if(machines_by_page.begin(), machines_by_page.end(),
+                                 [&](size_t count) { return count < limit; });
   return static_cast<int>(free - machines_by_page.begin());
 }
 
@@ -99,7 +102,8 @@
     if (pages_in_flight_.count(id) == 0) write_page(id);
   std::erase_if(pending_additions_,
                 [&](const auto& entry) { return replica_.machine(entry.first) != nullptr; });
-  std::erase_if(pending_removals_, [&](const auto& name) { return replica_.machine(name) == nullptr; });
+  std::erase_if(pending_removals_,
+                [&](const auto& name) { return replica_.machine(name) == nullptr; });
 }
 
 std::set<MachineLists::PageId> MachineLists::changed_pages() const {
@@ -110,8 +114,8 @@
     if (const model::Machine* machine = replica_.machine(name))
       changed.insert({machine->partition, machine->page});
   if (!membership::Upgrade::complete(replica_)) return changed;
-  // Pages from before a lowered limit are split as soon as every controller knows of splits: the
-  // store will refuse any further change of them once the limit holds.
+  // Pages written under a higher limit are split as soon as every controller supports splits: once
+  // the lower limit is in force, the store rejects any other change to them.
   for (size_t partition = 0; partition < replica_.pages.size(); ++partition) {
     const auto& pages = replica_.pages[partition];
     for (size_t page = 0; page < pages.size(); ++page)
@@ -121,8 +125,9 @@
   return changed;
 }
 
-// A page's machines as they are to be: those listed, less the removed ones, and the pending ones as
-// far as the value's limit allows. A pending machine that does not fit is moved to a new page.
+// Returns the machines the page is to contain: the current ones without the pending removals, plus
+// the pending additions that fit in the size limit of a store value. Moves an addition that does
+// not fit to a new page.
 std::map<std::string, model::Machine> MachineLists::plan_page(const PageId& id) {
   const auto& pages = replica_.pages[static_cast<size_t>(id.partition)];
   std::map<std::string, model::Machine> machines;
@@ -155,13 +160,14 @@
   transaction.preconditions = {
       {wire::kLeaderKey, replica_.leader.revision},
       {key, exists ? pages[static_cast<size_t>(id.page)].revision : model::kNoRevision}};
-  // The new pages come first: whoever applies the changes in order misses no machine in between.
+  // The new pages are written first, so that a controller that applies the changes in order never
+  // sees a machine missing.
   if (membership::Upgrade::complete(replica_)) split_page(machines, transaction);
   transaction.writes.push_back({key, wire::encode_machines(machines), 0});
   return transaction;
 }
 
-// Moves machines beyond a page's limit to new pages, the last ones first.
+// Moves the machines beyond the page's limit to new pages, starting with the last ones by name.
 void MachineLists::split_page(std::map<std::string, model::Machine>& machines,
                               PageTransaction& transaction) const {
   const PageId split = transaction.pages.front();
@@ -180,8 +186,8 @@
     ++new_page;
   }
   if (transaction.pages.size() > 1)
-    context_.info("fleet", "page {} of partition {} is split into {}", split.page, split.partition,
-                  transaction.pages.size());
+    context_.info("fleet", "splitting page {} of partition {} into {} pages", split.page,
+                  split.partition, transaction.pages.size());
 }
 
 void MachineLists::write_page(const PageId& id) {
--- a/src/rooksill/fleet/machine_lists.h
+++ b/src/rooksill/fleet/machine_lists.h
@@ -1,4 +1,4 @@
-// The partitions' lists of machines, as the leader writes them.
+// The partitions' lists of machines in the store, which the leader writes.
 #pragma once
 
 #include <compare>
@@ -16,51 +16,58 @@
 
 namespace rooksill::fleet {
 
-// Owns the changes of the lists that the store does not have yet: machines to be added (pending)
-// and machines to be removed. A change stays until the replica shows that the store has it; until
-// then its page is written again.
+// Holds the pending additions to and removals from the lists. A change stays pending, and its page
+// is written again, until the replica of the store contains it.
 //
-// A machine may be removed only once the cloud has confirmed its release: a machine in no list
-// counts as gone, and its tasks are started elsewhere.
+// A machine may be removed only once the cloud has confirmed its release: a machine in no list is
+// considered gone, and its tasks are started elsewhere.
 class MachineLists {
  public:
   MachineLists(runtime::Context& context, const store::Replica& replica,
                store::Committer& committer)
       : context_(context), replica_(replica), committer_(committer) {}
 
+  // Drops the pending changes of a former term.
   void start_term();
 
-  // Assigns new machines to a partition; with kAnyPartition each goes to the one with the fewest
-  // machines of this offer. Names that are pending already, or too long for a list, are ignored.
+  // Adds new machines to a partition's list. With kAnyPartition, each machine is assigned to the
+  // partition with the fewest machines of this offer. Ignores names that are empty, already pending
+  // or longer than model::kMaxName.
   void add(const std::vector<std::string>& names, const Offer& offer,
            int partition = kAnyPartition);
-  // Takes a released machine out of its list.
+  // Removes a released machine from its list.
   void remove(const std::string& name);
 
-  bool is_addition_pending(const std::string& name) const { return pending_additions_.count(name) != 0; }
-  bool is_removal_pending(const std::string& name) const { return pending_removals_.count(name) != 0; }
-  // The pending machines that no list has yet, by name.
+  // Return whether the change is not yet written to the store.
+  bool is_addition_pending(const std::string& name) const {
+    return pending_additions_.count(name) != 0;
+  }
+  bool is_removal_pending(const std::string& name) const {
+    return pending_removals_.count(name) != 0;
+  }
+  // Returns the machines to be added that are in no list of the replica yet, ordered by name.
   std::vector<const model::Machine*> pending_additions() const;
-  // How many machines of the offer there are, pending ones included and removed ones not.
+  // Returns the number of machines of the offer, including pending additions and excluding pending
+  // removals.
   int count_of(const Offer& offer) const;
 
-  // Writes the pages that have to change and are not being written.
+  // Writes the changed pages for which no transaction is in flight.
   void write_changes();
 
  private:
-  // A page of a partition's list: one value of the store.
+  // Identifies a page of a partition's list. Each page is one value in the store.
   struct PageId {
     int partition = 0;
     int page = 0;
     auto operator<=>(const PageId&) const = default;
   };
-  // A partition's machines: those of one offer, then all. Compared in this order.
+  // Numbers of a partition's machines, of one offer and in total, compared in this order.
   struct PartitionSize {
     int of_offer = 0;
     int total = 0;
     auto operator<=>(const PartitionSize&) const = default;
   };
-  // The transaction that writes a page, and with it the pages that it is split into.
+  // The transaction that writes a page and, if it is split, the new pages.
   struct PageTransaction {
     std::vector<PageId> pages;
     std::vector<std::string> keys;
--- a/src/rooksill/fleet/machine_returns.h
+++ b/src/rooksill/fleet/machine_returns.h
@@ -1,4 +1,4 @@
-// Machines on their way back to the cloud.
+// Return of machines to the cloud.
 #pragma once
 
 #include <map>
@@ -13,34 +13,42 @@
 
 namespace rooksill::fleet {
 
-// A machine that is not needed is drained: its owner starts nothing new there, its tasks are moved
-// or left to finish, and it can still be kept. A release is final: it is requested again until the
+// A machine that is not needed is drained: its owner starts no new tasks there, and its tasks are
+// moved or left to finish. A drain can be canceled. A release cannot: it is requested until the
 // cloud confirms it, which proves that the machine and its tasks are gone.
 class MachineReturns {
  public:
   MachineReturns(runtime::Context& context, CloudClient& cloud, MachineLists& lists)
       : context_(context), cloud_(cloud), lists_(lists) {}
 
+  // Clears the drains and releases of a former term.
   void start_term();
 
+  // Starts to drain the machine.
   void drain(const std::string& name) { draining_.insert(name); }
+  // Cancels the drain of the machine.
   void stop_draining(const std::string& name) { draining_.erase(name); }
+  // Starts to release the machine; no effect if it is being released. `reason` is for the log.
   void release(const std::string& name, const std::string& reason);
 
-  // Requests the releases that are not under way, up to a batch.
+  // Requests the releases that are not in flight, up to the batch limit of one request.
   void send_releases();
-  // Forgets confirmed releases that the cloud's list cannot lag behind any more.
+  // Forgets confirmed releases that are older than the maximum lag of the cloud's list.
   void forget_old_releases();
 
   const std::set<std::string>& draining() const { return draining_; }
   bool is_draining(const std::string& name) const { return draining_.count(name) != 0; }
   bool is_being_released(const std::string& name) const { return releasing_.count(name) != 0; }
-  // Being released, or released and still in a partition's list: it does not count any more.
+  // Returns whether the machine is being released, or is released and still in a partition's list.
+  // Such a machine no longer provides capacity.
   bool is_leaving(const std::string& name) const {
     return is_being_released(name) || lists_.is_removal_pending(name);
   }
-  // Released lately: the cloud's list, which lags, may still show it.
-  bool was_recently_released(const std::string& name) const { return released_at_.count(name) != 0; }
+  // Returns whether the machine was released so recently that the cloud's list may still contain
+  // it.
+  bool was_recently_released(const std::string& name) const {
+    return released_at_.count(name) != 0;
+  }
 
  private:
   void on_response(const std::vector<std::string>& names, const runtime::CallDone& done);
@@ -49,8 +57,8 @@
   CloudClient& cloud_;
   MachineLists& lists_;
   std::set<std::string> draining_;
-  std::map<std::string, std::string> releasing_;  // reasons by machine
-  std::set<std::string> releases_in_flight_;               // in a request that is under way
+  std::map<std::string, std::string> releasing_;  // reason by machine
+  std::set<std::string> releases_in_flight_;      // machines in a request without a response
   std::map<std::string, double> released_at_;     // by machine, steady clock
 };
 
--- a/src/rooksill/fleet/machine_review.cc
+++ b/src/rooksill/fleet/machine_review.cc
@@ -3,7 +3,7 @@
 namespace rooksill::fleet {
 
 namespace {
-// Boot times of its type after which a machine that has not reported is released.
+// A machine that has sent no heartbeat after this multiple of its type's boot time is released.
 constexpr double kFailedBootRatio = 4.0;
 }  // namespace
 
@@ -12,7 +12,7 @@
   for (const auto& [name, machine] : replica_.machines) {
     if (returns_.is_leaving(name)) continue;
     const auto status = statuses.find(name);
-    if (status == statuses.end()) continue;  // its owner has not reported: nothing is known
+    if (status == statuses.end()) continue;  // not reported by its owner yet
     const char* reason = release_reason(machine, status->second, suspect_partitions);
     if (reason != nullptr) returns_.release(name, reason);
   }
@@ -21,17 +21,18 @@
 const char* MachineReview::release_reason(const model::Machine& machine,
                                           const wire::MachineStatus& status,
                                           const std::set<int>& suspect_partitions) {
-  if (has_failed_to_boot(machine, status)) return "never came up";
+  if (has_failed_to_boot(machine, status)) return "did not boot";
   const bool is_owner_suspect = suspect_partitions.count(machine.partition) != 0;
-  if (status.silent && !is_owner_suspect && unreachable_machines_.claim_release(machine)) return "silent";
+  if (status.silent && !is_owner_suspect && unreachable_machines_.claim_release(machine))
+    return "unreachable";
   if (status.faulty) return "fails every task";
-  if (status.termination_notice && status.tasks == 0) return "to be taken, and empty";
-  if (status.draining && returns_.is_draining(machine.name) && status.tasks == 0) return "idle";
+  if (status.termination_notice && status.tasks == 0) return "termination notice, no tasks";
+  if (status.draining && returns_.is_draining(machine.name) && status.tasks == 0) return "drained";
   return nullptr;
 }
 
 bool MachineReview::has_failed_to_boot(const model::Machine& machine,
-                                   const wire::MachineStatus& status) const {
+                                       const wire::MachineStatus& status) const {
   if (status.up || status.tasks != 0) return false;
   const auto type = replica_.types.find(machine.type);
   const double boot_s =
--- a/src/rooksill/fleet/machine_review.h
+++ b/src/rooksill/fleet/machine_review.h
@@ -1,4 +1,4 @@
-// Which machines are released for their own state.
+// Release of unusable machines.
 #pragma once
 
 #include <set>
@@ -12,22 +12,26 @@
 
 namespace rooksill::fleet {
 
-// Releases machines that never booted, are silent, fail every task, are about to be taken by the
-// cloud, or have been drained and are empty.
+// Releases machines that did not boot, are unreachable, fail every task, are about to be reclaimed
+// by the cloud and run no task, or are drained.
 class MachineReview {
  public:
-  MachineReview(runtime::Context& context, const store::Replica& replica, UnreachableMachines& unreachable_machines,
-                MachineReturns& returns)
-      : context_(context), replica_(replica), unreachable_machines_(unreachable_machines), returns_(returns) {}
-
-  // `suspect_partitions`: their owners may have lost the connection to their machines themselves,
-  // so that their word on silent machines does not count.
+  MachineReview(runtime::Context& context, const store::Replica& replica,
+                UnreachableMachines& unreachable_machines, MachineReturns& returns)
+      : context_(context),
+        replica_(replica),
+        unreachable_machines_(unreachable_machines),
+        returns_(returns) {}
+
+  // Releases all unusable machines. `suspect_partitions`: partitions whose owners may have lost
+  // their own connection to the machines, so that their reports of unreachable machines are
+  // ignored.
   void release_unusable(const wire::MachineStatusMap& statuses,
                         const std::set<int>& suspect_partitions);
 
  private:
   bool has_failed_to_boot(const model::Machine& machine, const wire::MachineStatus& status) const;
-  // Why a machine is to be released now; null: it is not.
+  // Returns why the machine is to be released now, or null if it is to be kept.
   const char* release_reason(const model::Machine& machine, const wire::MachineStatus& status,
                              const std::set<int>& suspect_partitions);
 
--- a/src/rooksill/fleet/offer.h
+++ b/src/rooksill/fleet/offer.h
@@ -1,4 +1,4 @@
-// What can be rented from the cloud.
+// Machines that can be rented from the cloud.
 #pragma once
 
 #include <compare>
@@ -8,30 +8,33 @@
 
 namespace rooksill::fleet {
 
-// Stands for "whichever partition has the fewest machines".
+// Any partition. A rental without a partition is assigned to the one with the fewest machines.
 inline constexpr int kAnyPartition = -1;
 
-// Machines of one type that are all spot machines or all ordinary ones. Each pool is sized by
-// itself.
+// The machines of one type that are all spot machines or all ordinary ones. Each pool is sized
+// independently.
 struct InstancePool {
   std::string type;
   bool spot = false;
   auto operator<=>(const InstancePool&) const = default;
 };
 
-// A pool in one zone: the unit of a rental request, and of the cloud's capacity.
+// A pool in one zone. A rental request is for one offer, and the cloud's capacity is per offer.
 struct Offer {
   InstancePool pool;
   std::string zone;
   auto operator<=>(const Offer&) const = default;
 };
 
+// Returns whether the machine is of the offer's type, kind and zone.
 inline bool is_of_offer(const model::Machine& machine, const Offer& offer) {
   return machine.type == offer.pool.type && machine.spot == offer.pool.spot &&
          machine.zone == offer.zone;
 }
 
-// For log lines.
-inline const char* pool_kind_name(const InstancePool& pool) { return pool.spot ? "spot" : "ordinary"; }
+// Returns the kind of the pool's machines for log lines.
+inline const char* pool_kind_name(const InstancePool& pool) {
+  return pool.spot ? "spot" : "ordinary";
+}
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -61,7 +61,8 @@
   request_rentals(plan);
 }
 
-std::vector<FreeSpace> OnDemandRentals::collect_free_spaces(const wire::MachineStatusMap& statuses) const {
+std::vector<FreeSpace> OnDemandRentals::collect_free_spaces(
+    const wire::MachineStatusMap& statuses) const {
   std::vector<FreeSpace> spaces;
   for (const auto& [name, machine] : replica_.machines)
     if (auto space = free_space_on(machine, statuses)) spaces.push_back(*std::move(space));
@@ -80,8 +81,8 @@
 
 // Returns the free resources reported by the owner for a machine that is up, and the full capacity
 // for a machine that is booting and not overdue.
-std::optional<FreeSpace> OnDemandRentals::free_space_on(const model::Machine& machine,
-                                                   const wire::MachineStatusMap& statuses) const {
+std::optional<FreeSpace> OnDemandRentals::free_space_on(
+    const model::Machine& machine, const wire::MachineStatusMap& statuses) const {
   const auto type = replica_.types.find(machine.type);
   if (type == replica_.types.end()) return std::nullopt;
   if (returns_.is_leaving(machine.name) || returns_.is_draining(machine.name)) return std::nullopt;
@@ -105,7 +106,8 @@
                             .value_or(kAnyPartition);
   demand.restrict_to_partition(partition);
   if (spec.shape != model::Shape::kGang) return demand;
-  const GangTarget target = choose_gang_target(spec, plan.spaces, partition, replica_, capacity_limits_);
+  const GangTarget target =
+      choose_gang_target(spec, plan.spaces, partition, replica_, capacity_limits_);
   demand.restrict_to_partition(target.partition);
   if (spec.one_zone) demand.restrict_to_zone(target.zone);
   return demand;
@@ -124,7 +126,7 @@
 
 // Keeps draining machines that can run the tasks, instead of renting new ones.
 void OnDemandRentals::reuse_draining_machines(JobDemand& demand,
-                                            const wire::MachineStatusMap& statuses, Plan& plan) {
+                                              const wire::MachineStatusMap& statuses, Plan& plan) {
   const std::set<std::string> draining = returns_.draining();
   for (const auto& name : draining) {
     if (demand.unassigned() == 0) break;
@@ -169,7 +171,7 @@
 // Returns the offer with the lowest price per task for the job's unassigned tasks. The number of
 // tasks per machine is limited by the unassigned tasks of all jobs, not only of this job.
 std::optional<OnDemandRentals::OfferChoice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
-                                                                       Plan& plan) const {
+                                                                            Plan& plan) const {
   const model::JobSpec& spec = demand.spec();
   const double max_useful_tasks = 2.0 * plan.unassigned(spec);
   std::optional<OfferChoice> best;
--- a/src/rooksill/fleet/on_demand_rentals.h
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -63,12 +63,14 @@
 
   std::vector<FreeSpace> collect_free_spaces(const wire::MachineStatusMap& statuses) const;
   std::optional<FreeSpace> free_space_on(const model::Machine& machine,
-                                    const wire::MachineStatusMap& statuses) const;
+                                         const wire::MachineStatusMap& statuses) const;
   JobDemand make_demand(const PendingTasks& pending, const Plan& plan) const;
   void plan_job(const PendingTasks& pending, const wire::MachineStatusMap& statuses, Plan& plan);
-  void reuse_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses, Plan& plan);
-  std::optional<FreeSpace> free_space_on_draining(const std::string& name, const model::JobSpec& spec,
-                                             const wire::MachineStatusMap& statuses) const;
+  void reuse_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses,
+                               Plan& plan);
+  std::optional<FreeSpace> free_space_on_draining(const std::string& name,
+                                                  const model::JobSpec& spec,
+                                                  const wire::MachineStatusMap& statuses) const;
   void plan_rentals(JobDemand& demand, Plan& plan) const;
   std::optional<OfferChoice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
   void request_rentals(const Plan& plan);
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -76,7 +76,7 @@
 }
 
 PoolSizing::PoolState PoolSizing::measure_pool(const std::vector<const model::Machine*>& machines,
-                                         const wire::MachineStatusMap& statuses) const {
+                                               const wire::MachineStatusMap& statuses) const {
   PoolState state;
   for (const model::Machine* machine : machines) {
     ++state.machines_by_zone[machine->zone];
@@ -100,7 +100,7 @@
 
 // Computes the paper's R: the configured limit, or less where the cloud has refused requests.
 PoolSizing::PoolLimit PoolSizing::limit_of(const InstancePool& pool,
-                                               const model::MachineType& type) const {
+                                           const model::MachineType& type) const {
   PoolLimit limit;
   for (const auto& zone : type.zones) {
     const int zone_limit = capacity_limits_.machine_limit({pool, zone});
@@ -114,15 +114,14 @@
 
 // Distributes the machines one by one, each to the zone with the fewest machines of the pool.
 void PoolSizing::rent_planned(const InstancePool& pool, const model::MachineType& type, int count,
-                              const PoolLimit& limit,
-                              std::map<std::string, int> machines_by_zone) {
+                              const PoolLimit& limit, std::map<std::string, int> machines_by_zone) {
   std::map<std::string, int> requests;
   for (int i = 0; i < count; ++i) {
     const std::string* best = nullptr;
     for (const auto& zone : type.zones) {
       const bool can_request = capacity_limits_.can_request({pool, zone}) &&
-                        machines_by_zone[zone] < limit.by_zone.at(zone) &&
-                        requests[zone] < kMaxMachinesPerRental;
+                               machines_by_zone[zone] < limit.by_zone.at(zone) &&
+                               requests[zone] < kMaxMachinesPerRental;
       if (can_request && (best == nullptr || machines_by_zone[zone] < machines_by_zone[*best]))
         best = &zone;
     }
@@ -138,7 +137,8 @@
                                 std::vector<ReturnCandidate> candidates) {
   std::sort(candidates.begin(), candidates.end(),
             [](const ReturnCandidate& a, const ReturnCandidate& b) {
-              return a.drain_cost != b.drain_cost ? a.drain_cost < b.drain_cost : a.machine->name < b.machine->name;
+              return a.drain_cost != b.drain_cost ? a.drain_cost < b.drain_cost
+                                                  : a.machine->name < b.machine->name;
             });
   int remaining = count;
   for (const ReturnCandidate& candidate : candidates) {
--- a/src/rooksill/fleet/pool_sizing.h
+++ b/src/rooksill/fleet/pool_sizing.h
@@ -44,8 +44,8 @@
   };
   // The current state of a pool.
   struct PoolState {
-    int rented = 0;                               // usable machines and those not reported yet: the paper's x
-    double busy_machines = 0;                              // load on these, in machines: the paper's y
+    int rented = 0;            // usable machines and those not reported yet: the paper's x
+    double busy_machines = 0;  // load on these, in machines: the paper's y
     std::map<std::string, int> machines_by_zone;  // including unusable ones
     std::vector<ReturnCandidate> candidates;
   };
@@ -59,7 +59,7 @@
                  const std::vector<const model::Machine*>& machines,
                  const wire::MachineStatusMap& statuses, double unplanned_cost_factor);
   PoolState measure_pool(const std::vector<const model::Machine*>& machines,
-                   const wire::MachineStatusMap& statuses) const;
+                         const wire::MachineStatusMap& statuses) const;
   PoolLimit limit_of(const InstancePool& pool, const model::MachineType& type) const;
   void rent_planned(const InstancePool& pool, const model::MachineType& type, int count,
                     const PoolLimit& limit, std::map<std::string, int> machines_by_zone);
--- a/src/rooksill/fleet/rentals.cc
+++ b/src/rooksill/fleet/rentals.cc
@@ -10,8 +10,8 @@
 namespace rooksill::fleet {
 
 namespace {
-// After so many failed tries a request is dropped; if it is carried out late, its machines are
-// adopted when they are listed.
+// A request is dropped after this many failed tries. If the cloud executes it late, its machines
+// are adopted once they are listed.
 constexpr int kMaxFailedTries = 20;
 
 bool is_out_of_capacity(const runtime::CallDone& done) {
@@ -33,9 +33,10 @@
   request.offer = offer;
   request.count = std::min(count, kMaxMachinesPerRental);
   request.partition = partition;
-  const std::string name = "rk-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
-  context_.info("fleet", "rent {} {} {} in {} ({}) as {}", request.count, pool_kind_name(offer.pool),
-                offer.pool.type, offer.zone, reason, name);
+  const std::string name =
+      "rk-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
+  context_.info("fleet", "renting {} {} {} in {} ({}), request {}", request.count,
+                pool_kind_name(offer.pool), offer.pool.type, offer.zone, reason, name);
   requests_.emplace(name, std::move(request));
 }
 
@@ -63,13 +64,13 @@
     return;
   }
   if (is_out_of_capacity(done)) {
-    context_.info("fleet", "no capacity: {} {} in {}", pool_kind_name(request.offer.pool),
-                  request.offer.pool.type, request.offer.zone);
+    context_.info("fleet", "rental refused: no capacity for {} {} in {}",
+                  pool_kind_name(request.offer.pool), request.offer.pool.type, request.offer.zone);
     capacity_limits_.record_refusal(request.offer);
     requests_.erase(it);
     return;
   }
-  // Refused for another reason, or the outcome is unknown.
+  // The request failed for another reason, or its outcome is unknown: retries it.
   request.next_try_at = context_.now.steady + context_.settings.platform.report_s / 3;
   if (++request.failed_tries > kMaxFailedTries) requests_.erase(it);
 }
@@ -80,7 +81,8 @@
   if (!names) return false;
   lists_.add(*names, request.offer, request.partition);
   if (!names->empty()) capacity_limits_.record_success(request.offer);
-  if (static_cast<int>(names->size()) < request.count) capacity_limits_.record_refusal(request.offer);
+  if (static_cast<int>(names->size()) < request.count)
+    capacity_limits_.record_refusal(request.offer);
   return true;
 }
 
--- a/src/rooksill/fleet/rentals.h
+++ b/src/rooksill/fleet/rentals.h
@@ -1,4 +1,4 @@
-// Rental requests under way.
+// Rental requests without a result.
 #pragma once
 
 #include <cstdint>
@@ -17,44 +17,48 @@
 // A request for machines of one offer.
 struct RentalRequest {
   enum class State {
-    kToSend,    // not sent yet, or to be sent again
-    kInFlight,  // sent, and not answered yet
+    kToSend,    // not sent yet, or to be retried
+    kInFlight,  // sent, without a response
   };
 
   Offer offer;
-  int count = 0;
-  int partition = kAnyPartition;  // to which the machines go
+  int count = 0;                  // machines
+  int partition = kAnyPartition;  // to which the machines are assigned
   State state = State::kToSend;
   double next_try_at = 0;  // steady clock
   int failed_tries = 0;
 };
 
-// Each request has a name, unique over all terms. The cloud gives the same machines to every copy
-// of a request with that name, so a request whose outcome is unknown is simply sent again.
+// Sends rental requests and adds the rented machines to the partitions' lists. Each request has a
+// name that is unique over all terms. Requests are idempotent: the cloud returns the same machines
+// for every request with the same name, so a request whose outcome is unknown is retried.
 class Rentals {
  public:
   Rentals(runtime::Context& context, CloudClient& cloud, MachineLists& lists,
           CapacityLimits& capacity_limits)
       : context_(context), cloud_(cloud), lists_(lists), capacity_limits_(capacity_limits) {}
 
+  // Drops the requests of a former term.
   void start_term(uint64_t term);
 
-  // Adds a request; what exceeds kMaxMachinesPerRental is left out. `reason` is for the log.
+  // Queues a request for `count` machines, at most kMaxMachinesPerRental. `reason` is for the log.
   void request(const Offer& offer, int count, const std::string& reason,
                int partition = kAnyPartition);
-  // Sends what is due, as far as the rate limit allows.
+  // Sends the requests that are due, as far as the rate limit allows.
   void send();
 
-  // All requests without a result, by name.
+  // Returns all requests without a result, by name.
   const std::map<std::string, RentalRequest>& unresolved() const { return requests_; }
-  // Whether a machine of the offer that appears may belong to a request without an answer.
+  // Returns whether a request for the offer awaits its response, so that a new machine of the offer
+  // may belong to it.
   bool has_request_in_flight(const Offer& offer) const;
-  // Whether the offer was last requested less than so long ago.
+  // Returns whether the offer was requested within the last `seconds`.
   bool was_requested_within(const Offer& offer, double seconds) const;
 
  private:
   void on_response(const std::string& name, const runtime::CallDone& done);
-  // False if the response does not name the machines.
+  // Adds the machines named by the response to the partitions' lists. Returns false if it names
+  // none.
   bool add_rented_machines(const RentalRequest& request, const runtime::CallDone& done);
 
   runtime::Context& context_;
@@ -64,7 +68,7 @@
   uint64_t term_ = 0;
   uint64_t next_request_number_ = 1;
   std::map<std::string, RentalRequest> requests_;
-  std::map<Offer, double> last_request_at_;  // steady clock; outlasts a term
+  std::map<Offer, double> last_request_at_;  // steady clock; kept across terms
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/unreachable_machines.cc
+++ b/src/rooksill/fleet/unreachable_machines.cc
@@ -22,7 +22,7 @@
 }  // namespace
 
 void UnreachableMachines::update(const wire::MachineStatusMap& statuses,
-                            const UnreachableZones& unreachable) {
+                                 const UnreachableZones& unreachable) {
   unreachable_to_owner_ = unreachable.to_owner;
   std::erase_if(unreachable_since_, [&](const auto& entry) {
     const auto status = statuses.find(entry.first);
@@ -59,8 +59,9 @@
 // unreachable. Machines rented there would be unreachable too, so they are rented elsewhere. The
 // isolation expires after a lease's duration: if no machine is left in the zone to show that it is
 // reachable again, a new rental does.
-void UnreachableMachines::update_isolated_zones(const wire::MachineStatusMap& statuses,
-                                          const std::set<std::string>& unreachable_to_most_owners) {
+void UnreachableMachines::update_isolated_zones(
+    const wire::MachineStatusMap& statuses,
+    const std::set<std::string>& unreachable_to_most_owners) {
   const std::map<std::string, ZoneCount> counts = count_by_zone(statuses);
   std::set<std::string> isolated;
   for (const auto& [zone, count] : counts) {
@@ -75,8 +76,9 @@
   for (const auto& zone : isolated) {
     double& until = isolated_until_[zone];
     if (until <= context_.now.steady)
-      context_.info("fleet", "zone {} is isolated: {} of {} machines unreachable; renting elsewhere",
-                    zone, counts.at(zone).unreachable, counts.at(zone).total);
+      context_.info("fleet",
+                    "zone {} is isolated: {} of {} machines unreachable; renting elsewhere", zone,
+                    counts.at(zone).unreachable, counts.at(zone).total);
     until = context_.now.steady + context_.settings.platform.lease_s;
   }
 }
@@ -99,7 +101,8 @@
   const double unreachable_s = now - unreachable_since_.emplace(machine.name, now).first->second;
   // The machine's own owner reports the unreachable zone along with the unreachable machine; the
   // reports of most other owners may arrive later.
-  const bool is_zone_unreachable = unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
+  const bool is_zone_unreachable =
+      unreachable_to_owner_.count({machine.partition, machine.zone}) != 0;
   if ((is_zone_unreachable || is_isolated(machine.zone)) &&
       !claim_release_in_isolated_zone(machine, unreachable_s))
     return false;
@@ -109,16 +112,19 @@
 
 // Tasks in an isolated zone run until the machines' leases expire. Releasing the machines earlier
 // would only end the tasks sooner, because other zones lack the capacity for all of them. After the
-// expiry the tasks can restart where their images are cached as soon as the zone is reachable again,
-// so a machine is released only if there is capacity elsewhere by then.
-bool UnreachableMachines::claim_release_in_isolated_zone(const model::Machine& machine, double unreachable_s) {
+// expiry the tasks can restart where their images are cached as soon as the zone is reachable
+// again, so a machine is released only if there is capacity elsewhere by then.
+bool UnreachableMachines::claim_release_in_isolated_zone(const model::Machine& machine,
+                                                         double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
   // A machine is reported as unreachable only after this time, and its lease began before.
-  const double detection_s = context_.settings.operators.machine_silence_reports * platform.report_s;
+  const double detection_s =
+      context_.settings.operators.machine_silence_reports * platform.report_s;
   if (unreachable_s < platform.lease_s - detection_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
   if (load.replica_cpus <= 0 && claim_capacity_for(load)) return true;
-  return unreachable_s >= kForcedReleaseLeases * platform.lease_s || replica_fits_elsewhere(machine);
+  return unreachable_s >= kForcedReleaseLeases * platform.lease_s ||
+         replica_fits_elsewhere(machine);
 }
 
 // Returns whether the machine's tasks have capacity elsewhere, free or preemptible from tasks of
@@ -126,9 +132,12 @@
 bool UnreachableMachines::claim_capacity_for(const store::MachineLoad& load) {
   size_t highest_priority = 0;
   for (const model::TaskRef& task : load.tasks)
-    highest_priority = std::max(highest_priority, static_cast<size_t>(replica_.job(task.job)->spec.priority));
-  const auto lower_end = used_cpus_by_priority_.begin() + static_cast<std::ptrdiff_t>(highest_priority);
-  if (load.used.cpus > std::accumulate(used_cpus_by_priority_.begin(), lower_end, free_cpus_)) return false;
+    highest_priority =
+        std::max(highest_priority, static_cast<size_t>(replica_.job(task.job)->spec.priority));
+  const auto lower_end =
+      used_cpus_by_priority_.begin() + static_cast<std::ptrdiff_t>(highest_priority);
+  if (load.used.cpus > std::accumulate(used_cpus_by_priority_.begin(), lower_end, free_cpus_))
+    return false;
   double needed = load.used.cpus;
   const auto claim_from = [&needed](double& cpus) {
     const double claimed = std::min(cpus, needed);
@@ -164,8 +173,8 @@
 
 // If many machines with replicas become unreachable together, they are released in batches: the
 // first replicas pull their images to new machines, so that later replicas start there without a
-// pull, and until then the later replicas may still be serving. Machines far into their lease do not
-// wait: their tasks are about to be killed anyway.
+// pull, and until then the later replicas may still be serving. Machines far into their lease do
+// not wait: their tasks are about to be killed anyway.
 bool UnreachableMachines::claim_batch_slot(double unreachable_s) {
   const PlatformSettings& platform = context_.settings.platform;
   if (context_.now.steady >= next_batch_at_) {
@@ -173,7 +182,8 @@
     const auto machines = static_cast<double>(replica_.machines.size());
     remaining_in_batch_ = std::max(1, static_cast<int>(kBatchRatio * machines));
   }
-  if (remaining_in_batch_ <= 0 && unreachable_s < kMaxBatchWaitLeases * platform.lease_s) return false;
+  if (remaining_in_batch_ <= 0 && unreachable_s < kMaxBatchWaitLeases * platform.lease_s)
+    return false;
   --remaining_in_batch_;
   return true;
 }
--- a/src/rooksill/fleet/unreachable_machines.h
+++ b/src/rooksill/fleet/unreachable_machines.h
@@ -24,14 +24,14 @@
 
 // Zones whose machines cannot be reached by partition owners.
 struct UnreachableZones {
-  std::set<PartitionZone> to_owner;  // unreachable to the partition's owner
-  std::set<std::string> to_most_owners;     // unreachable to most partition owners
+  std::set<PartitionZone> to_owner;      // unreachable to the partition's owner
+  std::set<std::string> to_most_owners;  // unreachable to most partition owners
 };
 
 // Decides which unreachable machines are released, and when. A single machine is released at once.
-// Many machines with service replicas are released in batches. Machines of an isolated zone, one that
-// the controllers cannot reach as a whole, are kept at least until their leases expire, because their
-// tasks run until then.
+// Many machines with service replicas are released in batches. Machines of an isolated zone, one
+// that the controllers cannot reach as a whole, are kept at least until their leases expire,
+// because their tasks run until then.
 class UnreachableMachines {
  public:
   UnreachableMachines(runtime::Context& context, const store::Replica& replica)
@@ -60,7 +60,7 @@
 
   std::map<std::string, ZoneCount> count_by_zone(const wire::MachineStatusMap& statuses) const;
   void update_isolated_zones(const wire::MachineStatusMap& statuses,
-                            const std::set<std::string>& unreachable_to_most_owners);
+                             const std::set<std::string>& unreachable_to_most_owners);
   void update_capacity(const wire::MachineStatusMap& statuses);
   bool claim_release_in_isolated_zone(const model::Machine& machine, double unreachable_s);
   bool claim_capacity_for(const store::MachineLoad& load);
@@ -71,14 +71,14 @@
   runtime::Context& context_;
   const store::Replica& replica_;
   std::set<PartitionZone> unreachable_to_owner_;
-  std::map<std::string, double> isolated_until_;  // by zone, steady clock
-  std::map<std::string, double> unreachable_since_;   // by machine, steady clock
+  std::map<std::string, double> isolated_until_;     // by zone, steady clock
+  std::map<std::string, double> unreachable_since_;  // by machine, steady clock
   // Free CPUs, and used CPUs by the priority of the tasks, on all reachable machines.
   double free_cpus_ = 0;
   std::array<double, model::kPriorities> used_cpus_by_priority_{};
   double next_capacity_update_at_ = 0;  // steady clock
-  double next_batch_at_ = 0;         // steady clock
-  int remaining_in_batch_ = 0;         // machines with replicas that may still be released in this batch
+  double next_batch_at_ = 0;            // steady clock
+  int remaining_in_batch_ = 0;  // machines with replicas that may still be released in this batch
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/zone_reserves.cc
+++ b/src/rooksill/fleet/zone_reserves.cc
@@ -8,10 +8,12 @@
 namespace rooksill::fleet {
 
 namespace {
-const std::string kAllZones;              // the empty name, which sorts before the zones' names
-constexpr double kReservedLargestReplicas = 2;      // of the zone's largest, whose space the zone keeps
-constexpr double kReservedUseRatio = 0.1;       // and at least that part of what its replicas use
-constexpr double kReservedFullestMachines = 1;  // the fullest ones, whose replicas all zones can take
+const std::string kAllZones;                    // empty, so that it sorts before all zone names
+constexpr double kReservedLargestReplicas = 2;  // copies of a zone's largest replica
+constexpr double kReservedUseRatio =
+    0.1;  // the reserve's minimum, of the CPUs that the zone's replicas use
+constexpr double kReservedFullestMachines =
+    1;  // machines with the most replica CPUs, over all zones
 }  // namespace
 
 void ZoneReserves::measure(const wire::MachineStatusMap& statuses) {
@@ -30,15 +32,16 @@
       add_available(machine.zone, replica_.types.at(machine.type).capacity.cpus - used);
   }
   add_rentals();
-  // Machines are lost by the dozen where there are hundreds, and a spread job's replicas have to
-  // come back in the zone that they were lost from: hence the part of what is in use.
+  // A fleet of hundreds of machines loses dozens at a time, and the replicas of a spread job must
+  // restart in the zone in which they were lost, so the reserve grows with the CPUs in use.
   for (const auto& [zone, cpus] : largest_replicas)
-    capacity_by_zone_[zone].reserved = std::max(kReservedLargestReplicas * cpus, kReservedUseRatio * used_by_replicas[zone]);
+    capacity_by_zone_[zone].reserved =
+        std::max(kReservedLargestReplicas * cpus, kReservedUseRatio * used_by_replicas[zone]);
   capacity_by_zone_[kAllZones].reserved = kReservedFullestMachines * highest_replica_use;
 }
 
 bool ZoneReserves::is_available(const model::Machine& machine,
-                        const wire::MachineStatusMap& statuses) const {
+                                const wire::MachineStatusMap& statuses) const {
   if (returns_.is_draining(machine.name) || returns_.is_leaving(machine.name)) return false;
   const auto status = statuses.find(machine.name);
   if (status == statuses.end() || status->second.silent || status->second.faulty) return false;
@@ -59,7 +62,7 @@
 }
 
 void ZoneReserves::record_largest_replica(const model::Machine& machine,
-                                        std::map<std::string, double>& largest_by_zone) const {
+                                          std::map<std::string, double>& largest_by_zone) const {
   for (const model::TaskRef& task : replica_.placed_on(machine.name)) {
     const model::JobSpec& spec = replica_.job(task.job)->spec;
     if (spec.shape != model::Shape::kService) continue;
@@ -71,7 +74,8 @@
 bool ZoneReserves::can_spare(const model::Machine& machine) const {
   const auto type = replica_.types.find(machine.type);
   if (type == replica_.types.end()) return false;
-  // The machine's own space goes, and its replicas take space elsewhere: all of its CPUs.
+  // The reserve loses all of the machine's CPUs: its free capacity goes, and its replicas need
+  // capacity elsewhere.
   const double cpus = type->second.capacity.cpus;
   const auto has_spare = [&](const std::string& zone) {
     const ZoneCapacity& space = capacity_by_zone_.at(zone);
@@ -92,13 +96,14 @@
   }
 }
 
-// False if there is none in the zone.
+// Cancels the drain of one machine in the zone. Returns false if none is draining there.
 bool ZoneReserves::keep_draining_machine(const std::string& zone) {
   for (const auto& name : returns_.draining()) {
     const model::Machine* machine = replica_.machine(name);
     if (machine == nullptr || machine->spot || returns_.is_being_released(name)) continue;
     if (zone != kAllZones && machine->zone != zone) continue;
-    context_.info("fleet", "machine {} is kept: little room in {}", name, zone);
+    context_.info("fleet", "drain of machine {} canceled: capacity below the reserve of zone '{}'",
+                  name, zone);
     returns_.stop_draining(name);
     return true;
   }
@@ -108,13 +113,17 @@
 void ZoneReserves::rent_shortfall(const std::string& zone, const ZoneCapacity& capacity) {
   const std::optional<RentalChoice> choice = cheapest_offer(zone);
   if (!choice) return;
-  const int count = std::max(1, static_cast<int>((capacity.reserved - capacity.available) / choice->cpus));
-  rentals_.request(choice->offer, count,
-                   zone == kAllZones ? "little room in all" : "little room in the zone");
+  const int count =
+      std::max(1, static_cast<int>((capacity.reserved - capacity.available) / choice->cpus));
+  rentals_.request(
+      choice->offer, count,
+      zone == kAllZones ? "below the reserve of all zones" : "below the zone's reserve");
 }
 
-// In one zone the lowest price will do; for all of them it is the price of a CPU that counts.
-std::optional<ZoneReserves::RentalChoice> ZoneReserves::cheapest_offer(const std::string& zone) const {
+// Returns the offer with the lowest price per machine for a single zone, or with the lowest price
+// per CPU for all zones.
+std::optional<ZoneReserves::RentalChoice> ZoneReserves::cheapest_offer(
+    const std::string& zone) const {
   RentalChoice best;
   double best_price = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : replica_.types)
--- a/src/rooksill/fleet/zone_reserves.h
+++ b/src/rooksill/fleet/zone_reserves.h
@@ -1,4 +1,4 @@
-// Space for replicas that each zone keeps.
+// Capacity reserved in each zone for service replicas.
 #pragma once
 
 #include <map>
@@ -16,37 +16,39 @@
 
 namespace rooksill::fleet {
 
-// The sizing rule counts a pool as a whole. Two needs escape it: a spread job needs space in a
-// second zone, and the replicas of a lost machine need space at once. So each zone keeps a few
-// replicas' worth, and all zones together what the fullest machine has. Lower work may use that
-// space meanwhile: it makes room for replicas.
+// The sizing policy treats a pool as a whole and misses two needs: a spread job needs capacity in a
+// second zone, and the replicas of a lost machine need capacity at once. So each zone reserves
+// capacity for a few replicas, and all zones together for the replicas of the machine with the most
+// of them. Tasks of lower priority may use the reserve; replicas preempt them.
 //
-// Only ordinary machines count.
+// Only ordinary machines, not spot machines, contribute to the reserves.
 class ZoneReserves {
  public:
   ZoneReserves(runtime::Context& context, const store::Replica& replica, MachineReturns& returns,
-             const CapacityLimits& capacity_limits, Rentals& rentals)
+               const CapacityLimits& capacity_limits, Rentals& rentals)
       : context_(context),
         replica_(replica),
         returns_(returns),
         capacity_limits_(capacity_limits),
         rentals_(rentals) {}
 
-  // Adds up what there is and what has to be kept. Called before the questions below.
+  // Computes the available capacity and the reserves. Must be called before the functions below.
   void measure(const wire::MachineStatusMap& statuses);
-  // Whether enough is left without this machine, in its zone and in all of them.
+  // Returns whether the reserves of the machine's zone and of all zones hold without this machine.
   bool can_spare(const model::Machine& machine) const;
-  // Counts the space of a machine that is to be returned no more.
+  // Subtracts the capacity of a machine that is to be returned.
   void subtract(const model::Machine& machine, const model::MachineType& type);
-  // Where less is left than the floor: keeps a machine that was to be returned, or rents.
+  // In each zone with less capacity than its reserve, cancels the drain of a machine or, if none is
+  // draining, rents machines.
   void replenish();
 
  private:
   // In CPUs.
   struct ZoneCapacity {
-    double available = 0;  // that no replica uses, on machines that are up or about to be
-    double reserved = 0;      // what is kept of it
+    double available = 0;  // not used by replicas, on usable, booting and requested machines
+    double reserved = 0;   // to be kept available
   };
+  // An offer with the capacity of its machine type.
   struct RentalChoice {
     Offer offer;
     double cpus = 0;  // of one machine
@@ -66,7 +68,7 @@
   MachineReturns& returns_;
   const CapacityLimits& capacity_limits_;
   Rentals& rentals_;
-  std::map<std::string, ZoneCapacity> capacity_by_zone_;  // with all zones together under kAllZones
+  std::map<std::string, ZoneCapacity> capacity_by_zone_;  // kAllZones: the sum over all zones
 };
 
 }  // namespace rooksill::fleet
