--- a/src/rooksill/fleet/cloud_client.h
+++ b/src/rooksill/fleet/cloud_client.h
@@ -20,7 +20,7 @@
   void start_term(uint64_t term);
   // Drops all responses until the next term starts.
   void end_term() { is_leader_ = false; }
-  // Returns whether this controller is the leader.
+  // Returns whether a term is in progress, that is, whether this controller is the leader.
   bool is_leader() const { return is_leader_; }
   // Adds the requests allowed since the last call to the rate limit's budget.
   void refill_rate_limit() { rate_limit_.refill(context_.now.steady); }
--- a/src/rooksill/fleet/cloud_inventory.h
+++ b/src/rooksill/fleet/cloud_inventory.h
@@ -62,8 +62,8 @@
   bool is_complete_ = false;
   double next_request_at_ = 0;                        // steady clock
   std::vector<wire::ListedMachine> listed_machines_;  // of the pages read so far
-  std::string
-      last_listed_name_;  // of these machines, from where the next page starts; empty: first page
+  // Name of the last of these machines, after which the next page starts; empty: no page read yet.
+  std::string last_listed_name_;
   std::map<std::string, double> unexpected_since_;  // by machine, steady clock
   std::map<std::string, std::string> addresses_;    // by machine
 };
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -17,8 +17,8 @@
 
 constexpr int kReplicaMovesPerRound = 1;
 constexpr int kArrayTaskMovesPerRound = 3;
-constexpr double kExtraMovesPerMachine =
-    0.02;  // additional moves of each kind, per machine of the fleet
+// Additional moves of each kind in a round, per machine of the fleet.
+constexpr double kExtraMovesPerMachine = 0.02;
 constexpr int kChecksPerRound = 48;
 
 // Unlike Resources::fits_in, compares without a rounding tolerance.
--- a/src/rooksill/fleet/fleet.cc
+++ b/src/rooksill/fleet/fleet.cc
@@ -5,10 +5,8 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr double kOnDemandRoundsPerHeartbeat =
-    3;  // rounds of on-demand rentals per heartbeat interval
-constexpr double kMoveIntervalHeartbeats =
-    0.4;  // between two rounds of moves, in heartbeat intervals
+constexpr double kOnDemandRoundsPerHeartbeat = 3;
+constexpr double kMoveIntervalHeartbeats = 0.4;  // between two rounds of moves
 }  // namespace
 
 Fleet::Fleet(runtime::Context& context, store::Replica& replica, store::Committer& committer)
--- a/src/rooksill/fleet/job_demand.h
+++ b/src/rooksill/fleet/job_demand.h
@@ -45,8 +45,8 @@
   uint32_t unassigned_;
   int partition_ = kAnyPartition;
   std::string zone_;  // the only zone allowed; empty: any
-  std::map<std::string, uint32_t>
-      tasks_by_zone_;  // placed and assigned; placed only if the job restricts zones
+  // By zone: the tasks assigned and, if the job is spread or restricted to one zone, those placed.
+  std::map<std::string, uint32_t> tasks_by_zone_;
 };
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -169,7 +169,8 @@
 }
 
 // Returns the offer with the lowest price per task for the job's unassigned tasks. The number of
-// tasks per machine is limited by the unassigned tasks of all jobs, not only of this job.
+// tasks per machine is limited to twice the unassigned tasks of all such jobs, not only of this
+// job.
 std::optional<OnDemandRentals::OfferChoice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
                                                                             Plan& plan) const {
   const model::JobSpec& spec = demand.spec();
--- a/src/rooksill/fleet/rentals.h
+++ b/src/rooksill/fleet/rentals.h
@@ -57,8 +57,8 @@
 
  private:
   void on_response(const std::string& name, const runtime::CallDone& done);
-  // Adds the machines named by the response to the partitions' lists. Returns false if it names
-  // none.
+  // Adds the machines named by the response to the partitions' lists. Returns false if
+  // the response is not a valid list of machines.
   bool add_rented_machines(const RentalRequest& request, const runtime::CallDone& done);
 
   runtime::Context& context_;
--- a/src/rooksill/fleet/unreachable_machines.h
+++ b/src/rooksill/fleet/unreachable_machines.h
@@ -78,7 +78,7 @@
   std::array<double, model::kPriorities> used_cpus_by_priority_{};
   double next_capacity_update_at_ = 0;  // steady clock
   double next_batch_at_ = 0;            // steady clock
-  int remaining_in_batch_ = 0;  // machines with replicas that may still be released in this batch
+  int remaining_in_batch_ = 0;          // machines that the current batch may still release
 };
 
 }  // namespace rooksill::fleet
