--- a/src/rooksill/fleet/zone_reserves.cc
+++ b/src/rooksill/fleet/zone_reserves.cc
@@ -8,12 +8,13 @@
 namespace rooksill::fleet {
 
 namespace {
-const std::string kAllZones;                    // empty, so that it sorts before all zone names
-constexpr double kReservedLargestReplicas = 2;  // copies of a zone's largest replica
-constexpr double kReservedUseRatio =
-    0.1;  // the reserve's minimum, of the CPUs that the zone's replicas use
-constexpr double kReservedFullestMachines =
-    1;  // machines with the most replica CPUs, over all zones
+const std::string kAllZones;  // empty, so that it sorts before all zone names
+// A zone reserves CPUs for this many copies of its largest replica, and at least this ratio of the
+// CPUs that its replicas use.
+constexpr double kReservedLargestReplicas = 2;
+constexpr double kReservedUseRatio = 0.1;
+// All zones together reserve the replica CPUs of this many machines with the most of them.
+constexpr double kReservedFullestMachines = 1;
 }  // namespace
 
 void ZoneReserves::measure(const wire::MachineStatusMap& statuses) {
@@ -78,8 +79,8 @@
   // capacity elsewhere.
   const double cpus = type->second.capacity.cpus;
   const auto has_spare = [&](const std::string& zone) {
-    const ZoneCapacity& space = capacity_by_zone_.at(zone);
-    return space.available - cpus >= space.reserved;
+    const ZoneCapacity& capacity = capacity_by_zone_.at(zone);
+    return capacity.available - cpus >= capacity.reserved;
   };
   return has_spare(machine.zone) && has_spare(kAllZones);
 }
@@ -90,9 +91,9 @@
 }
 
 void ZoneReserves::replenish() {
-  for (const auto& [zone, space] : capacity_by_zone_) {
-    if (space.reserved <= 0 || space.available >= space.reserved) continue;
-    if (!keep_draining_machine(zone)) rent_shortfall(zone, space);
+  for (const auto& [zone, capacity] : capacity_by_zone_) {
+    if (capacity.reserved <= 0 || capacity.available >= capacity.reserved) continue;
+    if (!keep_draining_machine(zone)) rent_shortfall(zone, capacity);
   }
 }
 
