--- a/src/rooksill/fleet/on_demand_rentals.h
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -1,4 +1,4 @@
-// Rentals for tasks that wait (the paper's unplanned rentals).
+// Rentals for pending tasks (the paper's unplanned rentals).
 #pragma once
 
 #include <map>
@@ -20,62 +20,66 @@
 
 namespace rooksill::fleet {
 
-// Requests what the waiting tasks need beyond the free space that there is, is booting or is
-// requested already (docs/design.md, step 6).
+// Requests the machines that the pending tasks need beyond the free space on machines that are up,
+// booting or already requested (docs/design.md, step 6).
 class OnDemandRentals {
  public:
   OnDemandRentals(runtime::Context& context, const store::Replica& replica,
                   const MachineLists& lists, MachineReturns& returns,
-                  const CapacityLimits& capacity, Rentals& rentals)
+                  const CapacityLimits& capacity_limits, Rentals& rentals)
       : context_(context),
         replica_(replica),
         lists_(lists),
         returns_(returns),
-        capacity_(capacity),
+        capacity_limits_(capacity_limits),
         rentals_(rentals) {}
 
-  // `waiting`: the most important job first.
-  void rent_for(const std::vector<WaitingTasks>& waiting, const wire::MachineStatusMap& statuses);
+  // Plans one round of rentals and requests them. `pending`: the most important job first.
+  void rent_for(const std::vector<PendingTasks>& pending, const wire::MachineStatusMap& statuses);
 
  private:
   struct PlannedRental {
-    int count = 0;
-    int partition = kAnyPartition;
+    int count = 0;                  // machines
+    int partition = kAnyPartition;  // to which the machines are to be assigned
   };
-  // What is being decided in one round.
+  // The state of one planning round.
   struct Plan {
-    std::vector<FreeSpace> spaces;  // planned machines included
+    std::vector<FreeSpace> spaces;  // including those of planned machines
     std::map<Offer, PlannedRental> rentals;
-    // Tasks without a space, over all jobs: a machine is chosen to hold these, not one job alone.
-    double unassigned_ordinary = 0;  // of jobs for ordinary machines only
+    // Tasks without free space, over all jobs: a machine type is chosen for all of them, not for
+    // one job alone.
+    double unassigned_ordinary = 0;  // of jobs that allow ordinary machines only
     double unassigned_spot = 0;      // of jobs that may use spot machines
     double& unassigned(const model::JobSpec& spec) {
       return spec.spot ? unassigned_spot : unassigned_ordinary;
     }
-    int planned(const Offer& offer) const;
+    int planned_count(const Offer& offer) const;
   };
-  struct Choice {
+  // An offer with its machine type.
+  struct OfferChoice {
     Offer offer;
     const model::MachineType* type = nullptr;
   };
 
-  std::vector<FreeSpace> find_spaces(const wire::MachineStatusMap& statuses) const;
-  std::optional<FreeSpace> space_on(const model::Machine& machine,
-                                    const wire::MachineStatusMap& statuses) const;
-  JobDemand make_demand(const WaitingTasks& waiting, const Plan& plan) const;
-  void plan_job(const WaitingTasks& waiting, const wire::MachineStatusMap& statuses, Plan& plan);
-  void use_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses, Plan& plan);
-  std::optional<FreeSpace> space_on_draining(const std::string& name, const model::JobSpec& spec,
-                                             const wire::MachineStatusMap& statuses) const;
+  std::vector<FreeSpace> collect_free_spaces(const wire::MachineStatusMap& statuses) const;
+  std::optional<FreeSpace> free_space_on(const model::Machine& machine,
+                                         const wire::MachineStatusMap& statuses) const;
+  JobDemand make_demand(const PendingTasks& pending, const Plan& plan) const;
+  void plan_job(const PendingTasks& pending, const wire::MachineStatusMap& statuses, Plan& plan);
+  void reuse_draining_machines(JobDemand& demand, const wire::MachineStatusMap& statuses,
+                               Plan& plan);
+  std::optional<FreeSpace> free_space_on_draining(const std::string& name,
+                                                  const model::JobSpec& spec,
+                                                  const wire::MachineStatusMap& statuses) const;
   void plan_rentals(JobDemand& demand, Plan& plan) const;
-  std::optional<Choice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
-  void request(const Plan& plan);
+  std::optional<OfferChoice> cheapest_offer(const JobDemand& demand, Plan& plan) const;
+  void request_rentals(const Plan& plan);
 
   runtime::Context& context_;
   const store::Replica& replica_;
   const MachineLists& lists_;
   MachineReturns& returns_;
-  const CapacityLimits& capacity_;
+  const CapacityLimits& capacity_limits_;
   Rentals& rentals_;
 };
 
--- a/src/rooksill/leader/leader.cc
+++ b/src/rooksill/leader/leader.cc
@@ -10,7 +10,7 @@
     : fleet_(fleet),
       election_(context, replica, client, committer, peers,
                 {.on_start = [this](uint64_t term) { start_term(term); },
-                 .on_end = [this] { fleet_.stop(); }}),
+                 .on_end = [this] { fleet_.end_term(); }}),
       assigner_(context, replica, committer, peers, owner, election_),
       job_finisher_(replica, committer),
       pending_work_(context, replica, owner),
@@ -32,8 +32,8 @@
   router_.refresh(statuses);
   // Pending work changes slowly compared with the tick interval, so it is collected only when the
   // fleet needs it.
-  std::vector<fleet::WaitingTasks> pending;
-  if (fleet_.wants_waiting()) pending = pending_work_.collect();
+  std::vector<fleet::PendingTasks> pending;
+  if (fleet_.needs_pending_tasks()) pending = pending_work_.collect();
   fleet_.tick(statuses, pending, assigner_.suspect_partitions(), assigner_.unreachable_zones());
   router_.retry_pending_jobs();
 }
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -239,7 +239,7 @@
     }
   }
   for (const auto& [zone, reporting_owners] : owners_by_zone)
-    if (reporting_owners.size() * 2 > owners.size()) unreachable.to_most.insert(zone);
+    if (reporting_owners.size() * 2 > owners.size()) unreachable.to_most_owners.insert(zone);
   return unreachable;
 }
 
--- a/src/rooksill/leader/pending_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -12,7 +12,7 @@
 // this.
 constexpr double kMinPendingTimesPerReport = 6;
 
-bool precedes(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
+bool precedes(const fleet::PendingTasks& a, const fleet::PendingTasks& b) {
   if (a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
   return a.job->submitted < b.job->submitted;
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-std::vector<fleet::WaitingTasks> PendingWork::collect() {
-  std::vector<fleet::WaitingTasks> work;
+std::vector<fleet::PendingTasks> PendingWork::collect() {
+  std::vector<fleet::PendingTasks> work;
   std::map<model::ShardId, double> pending_since;
   const double now = context_.now.steady;
   const double min_pending_s = context_.settings.platform.report_s / kMinPendingTimesPerReport;
--- a/src/rooksill/leader/pending_work.h
+++ b/src/rooksill/leader/pending_work.h
@@ -24,7 +24,7 @@
   void start_term() { pending_since_.clear(); }
   // Returns the jobs whose tasks lack capacity, with their number of such tasks, by descending
   // priority and then by submission time. Jobs that are backing off after failures are excluded.
-  std::vector<fleet::WaitingTasks> collect();
+  std::vector<fleet::PendingTasks> collect();
 
  private:
   runtime::Context& context_;
