--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -93,9 +93,9 @@
   route_accepted_jobs();
   process_replica_changes();
   owner_.transfer_quotas();
-  owner_.place();
-  owner_.flush();
-  owner_.send_commands();
+  owner_.run_placement_pass();
+  owner_.flush_changes();
+  owner_.send_urgent_commands();
   user_requests_.flush();
   broadcast_updates();
 }
@@ -137,7 +137,7 @@
 
 // A worker in no partition has reported: the leader has to assign it to one.
 void Controller::forward_unassigned_machine() {
-  const auto machine = owner_.take_unassigned_machine();
+  const auto machine = owner_.pop_unassigned_machine();
   if (!machine) return;
   const std::string& leader = replica_.leader.label;
   if (leader_.leading())
@@ -158,7 +158,7 @@
   committer_.tick();
   upgrade_.tick(leader_.leading());
   if (membership::Upgrade::complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
-  owner_.tick();
+  owner_.update_ownership();
   if (timeout_check_timer_.fire(now, kTick * kTimeoutCheckTicks)) owner_.check_timeouts();
   if (heartbeat_timer_.fire(now, context_.settings.platform.report_s / kHeartbeatsPerReport)) {
     heartbeat_sender_.send_heartbeat();
@@ -189,7 +189,7 @@
   for (const std::string& id : accepted) {
     const model::Job* job = replica_.job(id);
     if (job == nullptr) continue;
-    for (uint32_t shard = 0; shard < job->shards.size(); ++shard) owner_.route_here({id, shard});
+    for (uint32_t shard = 0; shard < job->shards.size(); ++shard) owner_.add_routed_shard({id, shard});
   }
 }
 
@@ -218,7 +218,7 @@
   if (request.target == kReadyTarget) return reply_readiness(request);
   if (request.target != kReportTarget) return user_requests_.handle(request);
   if (request.method != "POST") return context_.reply(request.id, 405, "{}");
-  owner_.report(request.id, request.body);
+  owner_.handle_heartbeat(request.id, request.body);
 }
 
 void Controller::reply_readiness(const runtime::Request& request) {
@@ -310,7 +310,7 @@
 }
 
 void Controller::handle_message(const std::string& /*sender*/, const wire::RoutingUpdate& routing) {
-  owner_.routes(routing);
+  owner_.apply_routing_update(routing);
 }
 
 void Controller::handle_message(const std::string& /*sender*/,
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -24,11 +24,11 @@
   heartbeat.ready = replica_.synced;
   heartbeat.store_ok = store_answers();
   heartbeat.store_age = context_.now.steady - client_.last_answer();
-  heartbeat.suspects_itself = owner_.suspects_itself();
+  heartbeat.suspects_itself = owner_.suspects_own_isolation();
   heartbeat.term = leader_.term();
-  heartbeat.addresses = owner_.take_addresses();
+  heartbeat.addresses = owner_.collect_address_updates();
   heartbeat.unreachable_zones = owner_.unreachable_zones();
-  heartbeat.quota_use = owner_.quota_use();
+  heartbeat.quota_use = owner_.quota_usage();
   cancellations_.add_to_heartbeat(heartbeat);
   peers_.broadcast(wire::PeerKind::kHeartbeat, wire::pack(heartbeat));
 }
@@ -40,9 +40,9 @@
   if (recipients.empty()) return;
   model::LivenessRecord record;
   record.incarnation = context_.incarnation;
-  record.suspects_itself = owner_.suspects_itself();
+  record.suspects_itself = owner_.suspects_own_isolation();
   record.meant_for = recipients;
-  record.silent = owner_.silent_machines();
+  record.silent = owner_.unreachable_machines();
   record.unreachable_zones = owner_.unreachable_zones();
   const auto key = wire::liveness_key(context_.settings.platform.label);
   // An outcome is not needed: the next record replaces this one.
--- a/src/rooksill/controller/machine_status_publisher.cc
+++ b/src/rooksill/controller/machine_status_publisher.cc
@@ -13,7 +13,7 @@
   const model::Leadership& leader = replica_.leader;
   if (leader.label.empty()) return;
   const bool is_new_leader = leader.revision != published_to_.revision;
-  std::vector<wire::MachineStatus> statuses = owner_.take_statuses(is_new_leader);
+  std::vector<wire::MachineStatus> statuses = owner_.collect_status_updates(is_new_leader);
   published_to_ = leader;
   if (leader.label == context_.settings.platform.label)
     table_.record(leader.label, std::move(statuses));
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -86,7 +86,7 @@
 
 // Empty if the controller may own partitions.
 std::string PartitionAssigner::reason_against(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
+  if (is_self(label)) return owner_.suspects_own_isolation() ? "it suspects itself" : "";
   if (!peers_.alive(label)) return "it is not heard";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
@@ -230,7 +230,7 @@
 }
 
 bool PartitionAssigner::suspects_itself(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_itself();
+  if (is_self(label)) return owner_.suspects_own_isolation();
   const membership::Peer* peer = peers_.find(label);
   return peer != nullptr && peer->heartbeat.suspects_itself;
 }
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -49,7 +49,7 @@
 void PartitionChooser::refresh(const wire::MachineStatusMap& statuses,
                                const std::vector<wire::QuotaUse>& use) {
   capacity_.rebuild(statuses);
-  quotas_.refresh(use);
+  quotas_.reset(use);
 }
 
 int PartitionChooser::choose(const model::Job& job, uint32_t shard, std::optional<int> failed) {
@@ -65,7 +65,7 @@
   const auto best = std::max_element(scores.begin(), scores.end()) - scores.begin();
   const double within_share = fits[static_cast<size_t>(best)].within_share;
   const int partition = static_cast<int>(best);
-  if (within_share < demand.tasks) quotas_.note_shortage(job.spec, demand.tasks, fits);
+  if (within_share < demand.tasks) quotas_.record_shortage(job.spec, demand.tasks, fits);
   quotas_.deduct(job.spec, partition, std::min(demand.tasks, within_share));
   capacity_.deduct(partition, demand.filter, demand.tasks);
   return partition;
@@ -133,12 +133,12 @@
     score += room.tasks;
     room.tasks = room.with_image = 0;
   }
-  fit.room = room.tasks;
+  fit.within_capacity = room.tasks;
   // A partition without a share for this team cannot take the job, whatever its room.
   if (quota::quota_share(context_.settings, replica_, spec.team, partition).cpus <
       spec.request.cpus)
     return kCannotTakeScore;
-  const double quota_left = quotas_.tasks_left(spec, partition);
+  const double quota_left = quotas_.remaining_tasks(spec, partition);
   fit.within_share = std::min(room.tasks, quota_left);
   const double tasks = fit.within_share;
   const double with_image = std::min(room.with_image, quota_left);
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -44,7 +44,7 @@
 
 // What teams use of their quotas, as far as owners can be heard.
 std::vector<wire::QuotaUse> Router::reported_quota_use() const {
-  std::vector<wire::QuotaUse> use = owner_.quota_use();
+  std::vector<wire::QuotaUse> use = owner_.quota_usage();
   for (const auto& label : peers_.labels()) {
     if (!peers_.heard(label)) continue;
     for (const auto& reported : peers_.find(label)->heartbeat.quota_use)
@@ -208,7 +208,7 @@
     const bool empty = message.routes.empty() && message.moves.empty() && message.transfers.empty();
     if (!full && empty) continue;
     if (label == context_.settings.platform.label)
-      owner_.routes(message);
+      owner_.apply_routing_update(message);
     else if (!label.empty())
       peers_.send(label, wire::PeerKind::kRouting, wire::pack(message));
   }
--- a/src/rooksill/leader/waiting_work.cc
+++ b/src/rooksill/leader/waiting_work.cc
@@ -25,7 +25,7 @@
   const double now = context_.now.steady;
   const double patience = context_.settings.platform.report_s / kWaitsPerReport;
   for (const auto& id : replica_.waiting_jobs) {
-    if (owner_.backing_off(id)) continue;
+    if (owner_.is_backing_off(id)) continue;
     const model::Job& job = *replica_.job(id);
     uint32_t tasks = 0;
     for (uint32_t index = 0; index < job.shards.size(); ++index) {
--- a/src/rooksill/partition/capacity_tracker.cc
+++ b/src/rooksill/partition/capacity_tracker.cc
@@ -14,22 +14,22 @@
   return worker.capacity;
 }
 
-void CapacityTracker::forget(agent::Worker& worker) {
+void CapacityTracker::remove_usage(agent::Worker& worker) {
   quota_usage_.subtract(worker.capacity);
   worker.capacity.use_by_team.clear();
 }
 
 void CapacityTracker::recompute(agent::Worker& worker) {
   worker.capacity_stale = false;
-  forget(worker);
-  worker.capacity = empty_machine(worker);
+  remove_usage(worker);
+  worker.capacity = capacity_without_tasks(worker);
   if (replica_.machine(worker.name) == nullptr) return;
   add_placed_tasks(worker, worker.capacity);
-  add_unwritten_changes(worker, worker.capacity);
+  add_pending_changes(worker, worker.capacity);
   quota_usage_.add(worker.capacity);
 }
 
-placement::MachineCapacity CapacityTracker::empty_machine(const agent::Worker& worker) const {
+placement::MachineCapacity CapacityTracker::capacity_without_tasks(const agent::Worker& worker) const {
   placement::MachineCapacity capacity;
   capacity.machine = worker.name;
   for (const auto& entry : worker.images.entries()) capacity.cached_images.push_back(entry.image);
@@ -51,7 +51,7 @@
     const model::Job& job = *replica_.job(ref.job);
     capacity.add_task(job);
     const model::TaskState* task = replica_.task(ref);
-    if (task != nullptr && evicted_.contains(ref, task->attempt)) {
+    if (task != nullptr && evicted_tasks_.contains(ref, task->attempt)) {
       capacity.vacating += job.spec.request;
     } else if (job.spec.shape != model::Shape::kGang) {
       // A gang is not preempted: it would have to go whole.
@@ -60,7 +60,7 @@
   }
 }
 
-void CapacityTracker::add_unwritten_changes(const agent::Worker& worker,
+void CapacityTracker::add_pending_changes(const agent::Worker& worker,
                                             placement::MachineCapacity& capacity) const {
   const auto& placed = replica_.placed_on(worker.name);
   std::set<model::TaskRef> ended;
@@ -68,14 +68,14 @@
     const model::Job* job = replica_.job(reported.task.job);
     const model::TaskState* task = replica_.task(reported.task);
     if (job == nullptr || task == nullptr) continue;
-    const bool here = task->machine == worker.name && task->attempt == reported.attempt;
-    const bool exited = reported.phase == wire::TaskPhase::kExited;
+    const bool is_placed_here = task->machine == worker.name && task->attempt == reported.attempt;
+    const bool has_exited = reported.phase == wire::TaskPhase::kExited;
     // What has ended uses nothing any more, though its result is not written yet. What should not
     // be there uses its resources until it is gone.
-    if (exited && here && placed.count(reported.task) != 0) {
+    if (has_exited && is_placed_here && placed.count(reported.task) != 0) {
       capacity.remove_task(job->spec);
       ended.insert(reported.task);
-    } else if (!exited && !here) {
+    } else if (!has_exited && !is_placed_here) {
       capacity.add_task(*job);
     }
   }
--- a/src/rooksill/partition/capacity_tracker.h
+++ b/src/rooksill/partition/capacity_tracker.h
@@ -14,23 +14,23 @@
 // after one of these changed (agent::Worker::capacity_stale).
 class CapacityTracker {
  public:
-  CapacityTracker(const store::Replica& replica, const placement::EvictedTasks& evicted,
+  CapacityTracker(const store::Replica& replica, const placement::EvictedTasks& evicted_tasks,
                   QuotaUsage& quota_usage)
-      : replica_(replica), evicted_(evicted), quota_usage_(quota_usage) {}
+      : replica_(replica), evicted_tasks_(evicted_tasks), quota_usage_(quota_usage) {}
 
   const placement::MachineCapacity& capacity(agent::Worker& worker);
   void recompute(agent::Worker& worker);
   // The worker is about to be removed.
-  void forget(agent::Worker& worker);
+  void remove_usage(agent::Worker& worker);
 
  private:
-  placement::MachineCapacity empty_machine(const agent::Worker& worker) const;
+  placement::MachineCapacity capacity_without_tasks(const agent::Worker& worker) const;
   void add_placed_tasks(const agent::Worker& worker, placement::MachineCapacity& capacity) const;
-  void add_unwritten_changes(const agent::Worker& worker,
+  void add_pending_changes(const agent::Worker& worker,
                              placement::MachineCapacity& capacity) const;
 
   const store::Replica& replica_;
-  const placement::EvictedTasks& evicted_;
+  const placement::EvictedTasks& evicted_tasks_;
   QuotaUsage& quota_usage_;
 };
 
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -9,12 +9,12 @@
 namespace {
 
 // The larger of the parts of its CPUs and its memory that are in use; 0 for an unknown type.
-double load_of(const placement::MachineCapacity& capacity) {
+double utilization(const placement::MachineCapacity& capacity) {
   if (capacity.type == nullptr || capacity.type->capacity.cpus <= 0) return 0;
-  const model::Resources& whole = capacity.type->capacity;
+  const model::Resources& total = capacity.type->capacity;
   const model::Resources& free = capacity.free;
-  return std::max(1 - free.cpus / whole.cpus,
-                  whole.memory_gb > 0 ? 1 - free.memory_gb / whole.memory_gb : 0);
+  return std::max(1 - free.cpus / total.cpus,
+                  total.memory_gb > 0 ? 1 - free.memory_gb / total.memory_gb : 0);
 }
 
 }  // namespace
@@ -26,11 +26,11 @@
   wire::MachineStatus status;
   status.name = worker.name;
   status.up = worker.reported;
-  status.draining = availability.draining;
+  status.draining = availability.is_draining;
   status.silent = worker.silent;
   status.faulty = worker.failures.faulty;
   status.termination_notice = worker.terminates_at.has_value();
-  if (availability.takes_tasks) {
+  if (availability.is_schedulable) {
     status.cpus_free = capacity.free.cpus;
     std::copy(capacity.cpus_by_priority.begin(), capacity.cpus_by_priority.end(),
               status.cpus_by_priority.begin());
@@ -38,30 +38,30 @@
   status.gpus_free = capacity.free.gpus;
   status.memory_free = capacity.free.memory_gb;
   status.tasks = capacity.tasks;
-  status.load = load_of(capacity);
+  status.load = utilization(capacity);
   for (const auto& entry : worker.images.entries())
     status.images.push_back(replica.image_name(entry.image));
   return status;
 }
 
 void MachineSummary::add(const agent::Worker& worker, const placement::MachineCapacity& capacity,
-                         bool takes_tasks, size_t placed_tasks) {
-  ++machines_;
-  reported_ += worker.reported ? 1 : 0;
+                         bool is_schedulable, size_t placed_tasks) {
+  ++total_machines_;
+  reporting_machines_ += worker.reported ? 1 : 0;
   commands_in_flight_ += worker.tokens.command_in_flight() ? 1 : 0;
   placed_tasks_ += placed_tasks;
   for (const auto& task : worker.tasks) ++tasks_by_phase_[static_cast<size_t>(task.phase)];
-  if (!takes_tasks) return;
-  ++taking_tasks_;
+  if (!is_schedulable) return;
+  ++schedulable_;
   cpus_ += capacity.type->capacity.cpus;
   free_cpus_ += capacity.free.cpus;
 }
 
-std::string MachineSummary::text() const {
+std::string MachineSummary::to_string() const {
   return fmt::format(
       "machines: {}, {} heard, {} taking tasks with {:.0f} of {:.0f} cores free, {} sent commands; "
       "tasks: {} placed, reported {} fetching, {} gathering, {} running, {} saving, {} ended",
-      machines_, reported_, taking_tasks_, free_cpus_, cpus_, commands_in_flight_, placed_tasks_,
+      total_machines_, reporting_machines_, schedulable_, free_cpus_, cpus_, commands_in_flight_, placed_tasks_,
       tasks_by_phase_[0], tasks_by_phase_[1], tasks_by_phase_[2], tasks_by_phase_[3],
       tasks_by_phase_[4]);
 }
--- a/src/rooksill/partition/machine_status.h
+++ b/src/rooksill/partition/machine_status.h
@@ -15,8 +15,8 @@
 
 // What the owner decided about a machine, besides what its worker reported.
 struct MachineAvailability {
-  bool draining = false;     // it is being emptied
-  bool takes_tasks = false;  // tasks may be placed on it now
+  bool is_draining = false;     // it is being emptied
+  bool is_schedulable = false;  // tasks may be placed on it now
 };
 
 // The status that is published to the leader. A machine that takes no tasks has no free CPUs there.
@@ -30,18 +30,18 @@
  public:
   // `placed_tasks`: how many the store has there.
   void add(const agent::Worker& worker, const placement::MachineCapacity& capacity,
-           bool takes_tasks, size_t placed_tasks);
-  std::string text() const;
+           bool is_schedulable, size_t placed_tasks);
+  std::string to_string() const;
 
  private:
-  static constexpr size_t kPhases = 5;  // values of wire::TaskPhase
+  static constexpr size_t kTaskPhases = 5;  // values of wire::TaskPhase
 
-  size_t machines_ = 0;
-  size_t reported_ = 0;
-  size_t taking_tasks_ = 0;
+  size_t total_machines_ = 0;
+  size_t reporting_machines_ = 0;
+  size_t schedulable_ = 0;
   size_t commands_in_flight_ = 0;
   size_t placed_tasks_ = 0;
-  std::array<size_t, kPhases> tasks_by_phase_{};  // as the workers reported them
+  std::array<size_t, kTaskPhases> tasks_by_phase_{};  // as the workers reported them
   // Of the machines that take tasks.
   double cpus_ = 0;
   double free_cpus_ = 0;
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -12,76 +12,76 @@
 using placement::WaitingShard;
 
 namespace {
-constexpr double kPassPause = 0.025;  // seconds between two passes
-constexpr double kShardsThatDoublePause = 200;
+constexpr double kPassIntervalSeconds = 0.025;  // seconds between two passes
+constexpr double kShardsPerIntervalIncrease = 200;
 }  // namespace
 
-bool PartitionOwner::open(const agent::Worker& w) const {
-  const bool heard =
-      agent::seconds_silent(w, ctx_) < agent::kProbeReports * ctx_.settings.platform.report_s ||
-      !w.probe.failed;
-  return w.capacity.type != nullptr && w.reported && heard && !w.failures.faulty &&
-         !w.terminates_at && !workers_.draining(w.name) &&
-         w.failures.avoid_until <= ctx_.now.steady;
+bool PartitionOwner::is_schedulable(const agent::Worker& worker) const {
+  const bool is_responding =
+      agent::seconds_silent(worker, context_) < agent::kProbeReports * context_.settings.platform.report_s ||
+      !worker.probe.failed;
+  return worker.capacity.type != nullptr && worker.reported && is_responding && !worker.failures.faulty &&
+         !worker.terminates_at && !workers_.draining(worker.name) &&
+         worker.failures.avoid_until <= context_.now.steady;
 }
 
-std::vector<agent::Worker*> PartitionOwner::open_workers() {
-  std::vector<agent::Worker*> out;
-  for (auto& [name, w] : workers_) {
-    capacities_.capacity(w);
-    if (open(w)) out.push_back(&w);
+std::vector<agent::Worker*> PartitionOwner::schedulable_workers() {
+  std::vector<agent::Worker*> schedulable;
+  for (auto& [name, worker] : workers_) {
+    capacities_.capacity(worker);
+    if (is_schedulable(worker)) schedulable.push_back(&worker);
   }
-  return out;
+  return schedulable;
 }
 
 // Whether what the team has in the machine's partition, with what is placed there, is too much
 // already.
-bool PartitionOwner::exceeds_quota(const std::string& team, agent::Worker& w) {
-  capacities_.capacity(w);
-  return quota_usage_.exceeded(team, w.partition);
+bool PartitionOwner::exceeds_quota(const std::string& team, agent::Worker& worker) {
+  capacities_.capacity(worker);
+  return quota_usage_.is_exceeded(team, worker.partition);
 }
 
 // Of the shards routed here, those that may have tasks to place; forgets those of jobs that are
 // over.
-std::vector<WaitingShard> PartitionOwner::waiting_shards() {
-  std::vector<WaitingShard> waiting;
-  for (auto it = routed_.begin(); it != routed_.end();) {
+std::vector<WaitingShard> PartitionOwner::pending_shards() {
+  std::vector<WaitingShard> pending;
+  for (auto it = routed_shards_.begin(); it != routed_shards_.end();) {
     const model::Job* job = replica_.job(it->job);
     if (job != nullptr && (job->over() || it->index >= job->shards.size())) {
-      it = routed_.erase(it);
+      it = routed_shards_.erase(it);
       continue;
     }
     if (job != nullptr) {
       // A task that ended, which is not written yet, may get its next place already.
-      const bool changing = changes_.find_shard(*it) != nullptr;
-      if ((changing || job->shards[it->index].unplaced() > 0) && !backing_off(it->job))
-        waiting.push_back(
+      const bool has_changes = changes_.find_shard(*it) != nullptr;
+      if ((has_changes || job->shards[it->index].unplaced() > 0) && !is_backing_off(it->job))
+        pending.push_back(
             {job, it->index,
-             placement::due_time(*job, ctx_.settings.platform.objectives, ctx_.now.wall)});
+             placement::due_time(*job, context_.settings.platform.objectives, context_.now.wall)});
     }
     ++it;
   }
-  return waiting;
+  return pending;
 }
 
-void PartitionOwner::place() {
-  if (!placement_requested_ || ctx_.now.steady < next_place_) return;
+void PartitionOwner::run_placement_pass() {
+  if (!placement_requested_ || context_.now.steady < next_pass_at_s_) return;
   placement_requested_ = false;
-  if (owned_.empty() || routed_.empty()) return;
-  std::vector<WaitingShard> waiting = waiting_shards();
-  if (waiting.empty()) return;
-  const double slowdown = 1 + static_cast<double>(waiting.size()) / kShardsThatDoublePause;
-  next_place_ = ctx_.now.steady + kPassPause * slowdown;
-  placement::sort_by_urgency(waiting);
-  quota_usage_.refresh_shares();
-  eviction_budget_.refill(client_.writes_per_s(), ctx_.now.steady);
-  const auto failed_there = [this](const std::string& job, const std::string& machine) {
+  if (owned_partitions_.empty() || routed_shards_.empty()) return;
+  std::vector<WaitingShard> pending = pending_shards();
+  if (pending.empty()) return;
+  const double interval_factor = 1 + static_cast<double>(pending.size()) / kShardsPerIntervalIncrease;
+  next_pass_at_s_ = context_.now.steady + kPassIntervalSeconds * interval_factor;
+  placement::sort_by_urgency(pending);
+  quota_usage_.invalidate_shares();
+  eviction_budget_.refill(client_.writes_per_s(), context_.now.steady);
+  const auto has_failed_on = [this](const std::string& job, const std::string& machine) {
     return job_backoff_.failed_on(job, machine);
   };
-  PlacementPass pass({ctx_, replica_, owned_, changes_, workers_, capacities_, quota_usage_,
-                      evicted_, failed_there},
-                     eviction_budget_, open_workers());
-  for (const WaitingShard& shard : waiting) {
+  PlacementPass pass({context_, replica_, owned_partitions_, changes_, workers_, capacities_, quota_usage_,
+                      evicted_tasks_, has_failed_on},
+                     eviction_budget_, schedulable_workers());
+  for (const WaitingShard& shard : pending) {
     if (shard.job->spec.shape == model::Shape::kGang)
       pass.place_gang(shard);
     else if (changes_.may_decide(*shard.job, shard.shard))
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -14,65 +14,65 @@
 
 using changes::TaskChange;
 
-PartitionOwner::PartitionOwner(runtime::Context& ctx, store::Replica& replica,
+PartitionOwner::PartitionOwner(runtime::Context& context, store::Replica& replica,
                                store::Client& client, store::Committer& committer,
                                const membership::Cancellations& cancellations)
-    : ctx_(ctx),
+    : context_(context),
       replica_(replica),
       client_(client),
-      owned_(replica),
-      workers_(ctx, replica),
-      failure_detector_(ctx, replica, workers_,
+      owned_partitions_(replica),
+      workers_(context, replica),
+      failure_detector_(context, replica, workers_,
                         [this](agent::Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
                           heartbeat_receiver_.accept(worker, heartbeat);
                         }),
-      changes_(ctx, replica, client, committer, owned_, *this),
-      job_backoff_(ctx),
-      renewal_permit_(ctx, cancellations),
-      heartbeat_receiver_(ctx, replica, workers_, failure_detector_,
+      changes_(context, replica, client, committer, owned_partitions_, *this),
+      job_backoff_(context),
+      renewal_permit_(context, cancellations),
+      heartbeat_receiver_(context, replica, workers_, failure_detector_,
                           [this] { request_placement(); }),
-      reconciler_({ctx, replica, owned_, changes_, workers_, evicted_, job_backoff_},
+      reconciler_({context, replica, owned_partitions_, changes_, workers_, evicted_tasks_, job_backoff_},
                   [this](const std::string& team, agent::Worker& worker) {
                     return exceeds_quota(team, worker);
                   }),
       heartbeat_endpoint_(
-          {ctx, replica, owned_, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
-      command_sender_({ctx, replica, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
-      routed_(ctx, replica, owned_),
-      transfers_(ctx, replica, committer),
-      quota_usage_(ctx.settings, replica, transfers_),
-      capacities_(replica, evicted_, quota_usage_) {}
+          {context, replica, owned_partitions_, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
+      command_sender_({context, replica, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
+      routed_shards_(context, replica, owned_partitions_),
+      quota_transfers_(context, replica, committer),
+      quota_usage_(context.settings, replica, quota_transfers_),
+      capacities_(replica, evicted_tasks_, quota_usage_) {}
 
 // ---- leases --------------------------------------------------------------------------------
 
-void PartitionOwner::activate(int partition) {
+void PartitionOwner::acquire_partition(int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
-  owned_.acquire(partition);
-  ctx_.info("partition", "partition {} taken, token {}", partition,
+  owned_partitions_.acquire(partition);
+  context_.info("partition", "partition {} taken, token {}", partition,
             model::number(lease.fencing_token));
-  drop_workers(partition);
+  remove_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
     replica_.changes.touched_machines.insert(page.names.begin(), page.names.end());
 }
 
-void PartitionOwner::drop_workers(int partition) {
+void PartitionOwner::remove_workers(int partition) {
   workers_.remove_partition(partition,
-                            [this](agent::Worker& worker) { capacities_.forget(worker); });
+                            [this](agent::Worker& worker) { capacities_.remove_usage(worker); });
 }
 
-void PartitionOwner::tick() {
-  const auto& label = ctx_.settings.platform.label;
-  for (int b = 0; b < static_cast<int>(replica_.leases.size()); ++b) {
-    const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(b)];
-    const bool mine = lease.owner == label && lease.incarnation == ctx_.incarnation;
+void PartitionOwner::update_ownership() {
+  const auto& label = context_.settings.platform.label;
+  for (int partition = 0; partition < static_cast<int>(replica_.leases.size()); ++partition) {
+    const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
+    const bool holds_lease = lease.owner == label && lease.incarnation == context_.incarnation;
     // Whatever the former owner wrote has a lower revision than the lease; it must be known
     // here before a worker's tasks are judged.
-    if (mine && !owns(b) && replica_.synced_revision >= lease.revision) {
-      activate(b);
-    } else if (owned_.acquired(b) && !owns(b)) {
-      ctx_.info("partition", "partition {} given up, now with {}", b, lease.owner);
-      owned_.release(b);
-      drop_workers(b);
+    if (holds_lease && !owns(partition) && replica_.synced_revision >= lease.revision) {
+      acquire_partition(partition);
+    } else if (owned_partitions_.acquired(partition) && !owns(partition)) {
+      context_.info("partition", "partition {} given up, now with {}", partition, lease.owner);
+      owned_partitions_.release(partition);
+      remove_workers(partition);
     }
   }
 }
@@ -85,7 +85,7 @@
       if (machine != nullptr) {
         workers_.mark_changed(*worker);
       } else {
-        capacities_.forget(*worker);
+        capacities_.remove_usage(*worker);
         workers_.remove(name);
       }
     } else if (machine == nullptr) {
@@ -98,11 +98,11 @@
 
 void PartitionOwner::check_timeouts() {
   failure_detector_.check();
-  evicted_.forget_if([&](const model::TaskRef& ref, uint64_t attempt) {
+  evicted_tasks_.forget_if([&](const model::TaskRef& ref, uint64_t attempt) {
     const model::TaskState* task = replica_.task(ref);
     return task == nullptr || task->machine.empty() || task->attempt != attempt;
   });
-  if (!routed_.empty()) placement_requested_ = true;
+  if (!routed_shards_.empty()) placement_requested_ = true;
 }
 
 // ---- changes of state ----------------------------------------------------------------------
@@ -129,12 +129,12 @@
 
 // ---- routing and quotas ---------------------------------------------------------------------
 
-void PartitionOwner::routes(const wire::RoutingUpdate& update) {
-  if (!routed_.current(update)) return;
-  routed_.apply(update);
+void PartitionOwner::apply_routing_update(const wire::RoutingUpdate& update) {
+  if (!routed_shards_.is_current(update)) return;
+  routed_shards_.apply(update);
   if (update.full) workers_.clear_draining();
   workers_.drain(update.drain);
-  asked_transfers_.insert(asked_transfers_.end(), update.transfers.begin(), update.transfers.end());
+  requested_transfers_.insert(requested_transfers_.end(), update.transfers.begin(), update.transfers.end());
   for (const wire::TaskMove& move : update.moves) evict(move);
   placement_requested_ = true;
 }
@@ -146,56 +146,56 @@
   if (state == nullptr || state->attempt != move.attempt) return;
   agent::Worker* worker = workers_.find(state->machine);
   if (worker == nullptr) return;
-  evicted_.evict(task, move.attempt);
+  evicted_tasks_.evict(task, move.attempt);
   workers_.mark_changed(*worker);
 }
 
 // Called once all machines of the partitions held are known here: what a share's owner uses has to
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
-  quota_usage_.refresh_shares();
-  transfers_.tick(
-      [this](int partition, model::Revision lease) { return owned_.owns_under(partition, lease); });
-  for (const auto& t : std::exchange(asked_transfers_, {})) {
-    if (!owns(t.from)) continue;
-    for (auto& [name, w] : workers_) capacities_.capacity(w);
-    const model::QuotaShare share = quota::quota_share(ctx_.settings, replica_, t.team, t.from);
-    transfers_.start(t, quota_usage_.unused(share, t.team, t.from));
+  quota_usage_.invalidate_shares();
+  quota_transfers_.retry_transfers(
+      [this](int partition, model::Revision lease) { return owned_partitions_.owns_under(partition, lease); });
+  for (const auto& request : std::exchange(requested_transfers_, {})) {
+    if (!owns(request.from)) continue;
+    for (auto& [name, worker] : workers_) capacities_.capacity(worker);
+    const model::QuotaShare share = quota::quota_share(context_.settings, replica_, request.team, request.from);
+    quota_transfers_.start(request, quota_usage_.unused(share, request.team, request.from));
   }
 }
 
-std::vector<wire::QuotaUse> PartitionOwner::quota_use() const {
-  return quota_usage_.report([this](int partition) { return owns(partition); });
+std::vector<wire::QuotaUse> PartitionOwner::quota_usage() const {
+  return quota_usage_.owned_usage([this](int partition) { return owns(partition); });
 }
 
 void PartitionOwner::route_without_leader() {
-  if (routed_.route_without_leader() && !routed_.empty()) placement_requested_ = true;
+  if (routed_shards_.route_without_leader() && !routed_shards_.empty()) placement_requested_ = true;
 }
 
-std::string PartitionOwner::summary() {
+std::string PartitionOwner::machine_summary() {
   MachineSummary machines;
   for (auto& [name, worker] : workers_) {
     const placement::MachineCapacity& capacity = capacities_.capacity(worker);
-    machines.add(worker, capacity, open(worker), replica_.placed_on(name).size());
+    machines.add(worker, capacity, is_schedulable(worker), replica_.placed_on(name).size());
   }
-  return fmt::format("{}; shards routed here: {}", machines.text(), routed_.size());
+  return fmt::format("{}; shards routed here: {}", machines.to_string(), routed_shards_.size());
 }
 
 wire::MachineStatus PartitionOwner::status_of(agent::Worker& worker) {
   const placement::MachineCapacity& capacity = capacities_.capacity(worker);
-  const MachineAvailability availability{workers_.draining(worker.name), open(worker)};
+  const MachineAvailability availability{workers_.draining(worker.name), is_schedulable(worker)};
   return machine_status(worker, capacity, availability, replica_);
 }
 
-std::vector<wire::MachineStatus> PartitionOwner::take_statuses(bool all) {
-  std::vector<wire::MachineStatus> out;
-  for (const auto& [worker, turn] : workers_.take_status_due(all)) {
+std::vector<wire::MachineStatus> PartitionOwner::collect_status_updates(bool all) {
+  std::vector<wire::MachineStatus> statuses;
+  for (const auto& [worker, is_periodic] : workers_.take_status_due(all)) {
     wire::MachineStatus status = status_of(*worker);
-    if (!turn && status == worker->published_status) continue;
+    if (!is_periodic && status == worker->published_status) continue;
     worker->published_status = status;
-    out.push_back(std::move(status));
+    statuses.push_back(std::move(status));
   }
-  return out;
+  return statuses;
 }
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -32,11 +32,11 @@
 
 // Replicas that users wait for: where lower work makes room they start sooner than where their
 // image has to be fetched.
-bool prefers_preemption_to_fetching(const model::JobSpec& spec) {
+bool prefers_preemption_to_image_fetch(const model::JobSpec& spec) {
   return spec.shape == model::Shape::kService && spec.priority == model::Priority::kProd;
 }
 
-bool depends_on_zones(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
+bool has_zone_constraint(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
 
 }  // namespace
 
@@ -49,19 +49,19 @@
       cheapest_cpu_(placement::cheapest_cpu_price(env_.replica.types)),
       preemption_(machines_, feasibility_, budget,
                   [this](const MachineCapacity& machine, model::Priority below) {
-                    return list_preemptible(machine, below);
+                    return preemptible_tasks(machine, below);
                   }),
-      set_aside_(workers_.size()) {}
+      reserved_(workers_.size()) {}
 
-void PlacementPass::place_shard(const WaitingShard& waiting) {
-  const model::Job& job = *waiting.job;
+void PlacementPass::place_shard(const WaitingShard& pending) {
+  const model::Job& job = *pending.job;
   // Looked at before anything else: of a long queue nearly all shards end here.
-  if (unmet_.covers(job.spec)) return;
-  ShardTasks tasks{&job, waiting.shard, tasks_to_place(waiting)};
+  if (unmet_requests_.covers(job.spec)) return;
+  ShardTasks tasks{&job, pending.shard, tasks_to_place(pending)};
   if (tasks.indexes.empty()) return;
   std::optional<ZoneLimits> zones = zone_limits(job);
   if (!zones) return;
-  std::vector<MachineOption> options = options_for(job, *zones);
+  std::vector<MachineOption> options = machine_options(job, *zones);
   if (job.spec.one_zone && !zones->restricted()) {
     // All of the job's tasks must come to fit in one zone.
     zones->restrict_to(placement::roomiest_zone(options));
@@ -74,36 +74,36 @@
   for (const MachineOption& option : options) {
     const int partition = option.capacity->partition;
     if (demand.quota_tasks.count(partition) == 0)
-      demand.quota_tasks[partition] = env_.quota_usage.tasks_left(job.spec, partition);
+      demand.quota_tasks[partition] = env_.quota_usage.remaining_tasks(job.spec, partition);
   }
 
-  auto rest = options.end();
-  if (prefers_preemption_to_fetching(job.spec))
-    rest = std::find_if(options.begin(), options.end(), [&](const MachineOption& option) {
+  auto first_without_image = options.end();
+  if (prefers_preemption_to_image_fetch(job.spec))
+    first_without_image = std::find_if(options.begin(), options.end(), [&](const MachineOption& option) {
       return !option.capacity->has_image(job.image);
     });
-  assign({options.begin(), rest}, demand, tasks);
-  if (demand.tasks > 0 && rest != options.end()) {
+  assign_tasks({options.begin(), first_without_image}, demand, tasks);
+  if (demand.tasks > 0 && first_without_image != options.end()) {
     demand.tasks -= preempt(job, demand.tasks, demand.zones, true);
-    assign({rest, options.end()}, demand, tasks);
+    assign_tasks({first_without_image, options.end()}, demand, tasks);
   }
   if (demand.tasks > 0 && job.spec.priority > model::Priority::kIdle && !preemption_.exhausted())
     demand.tasks -= preempt(job, demand.tasks, demand.zones, false);
-  if (demand.tasks > 0) unmet_.add(job.spec);
+  if (demand.tasks > 0) unmet_requests_.add(job.spec);
 }
 
 // Tasks of one shard are alike: all of them look for places at once.
-std::vector<uint32_t> PlacementPass::tasks_to_place(const WaitingShard& waiting) const {
-  const model::TaskShard& shard = waiting.job->shards[waiting.shard];
-  const changes::ShardChanges* pending =
-      env_.changes.find_shard({waiting.job->spec.id, waiting.shard});
+std::vector<uint32_t> PlacementPass::tasks_to_place(const WaitingShard& pending) const {
+  const model::TaskShard& shard = pending.job->shards[pending.shard];
+  const changes::ShardChanges* shard_changes =
+      env_.changes.find_shard({pending.job->spec.id, pending.shard});
   std::vector<uint32_t> indexes;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
-    const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
+    const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == TaskChange::Kind::kLost && !pending->in_flight()) indexes.push_back(i);
+      if (change->kind == TaskChange::Kind::kLost && !shard_changes->in_flight()) indexes.push_back(i);
     } else if (env_.replica.waits(task) &&
                (task.machine.empty() || env_.replica.lists_cover(shard))) {
       indexes.push_back(i);
@@ -116,73 +116,73 @@
 // known.
 std::optional<ZoneLimits> PlacementPass::zone_limits(const model::Job& job) const {
   ZoneLimits zones(job.spec);
-  if (!depends_on_zones(job.spec)) return zones;
+  if (!has_zone_constraint(job.spec)) return zones;
   for (uint32_t shard = 0; shard < job.shards.size(); ++shard)
-    if (!count_by_zone(job, shard, zones)) return std::nullopt;
+    if (!count_tasks_by_zone(job, shard, zones)) return std::nullopt;
   return zones;
 }
 
 // Counts the shard's tasks where they are and where they were decided to go. False if the zone of
 // one is not known.
-bool PlacementPass::count_by_zone(const model::Job& job, uint32_t shard, ZoneLimits& zones) const {
-  const changes::ShardChanges* pending = env_.changes.find_shard({job.spec.id, shard});
+bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard, ZoneLimits& zones) const {
+  const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, shard});
   // What has ended on a machine is there no more, though that is not written yet.
-  auto ended = [&](uint32_t index) {
-    if (pending == nullptr) return false;
-    auto change = pending->waiting().find(index);
-    return change != pending->waiting().end() && change->second.kind == TaskChange::Kind::kLost;
+  auto has_ended = [&](uint32_t index) {
+    if (shard_changes == nullptr) return false;
+    auto change = shard_changes->waiting().find(index);
+    return change != shard_changes->waiting().end() && change->second.kind == TaskChange::Kind::kLost;
   };
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
-    if (tasks[i].machine.empty() || ended(i)) continue;
+    if (tasks[i].machine.empty() || has_ended(i)) continue;
     // A machine that is in no list here may have been added since the lists were read: other
     // controllers' updates of shards come faster than the watch.
     if (env_.replica.machine_gone(tasks[i].machine) && !env_.replica.lists_cover(job.shards[shard]))
       return false;
-    count_on(tasks[i].machine, job.spec, zones);
+    count_task_on(tasks[i].machine, job.spec, zones);
   }
-  if (pending == nullptr) return true;
-  for (const auto* changes : {&pending->waiting(), &pending->sent()})
+  if (shard_changes == nullptr) return true;
+  for (const auto* changes : {&shard_changes->waiting(), &shard_changes->sent()})
     for (const auto& [i, change] : *changes)
-      if (change.kind == TaskChange::Kind::kPlaced) count_on(change.machine.name, job.spec, zones);
+      if (change.kind == TaskChange::Kind::kPlaced) count_task_on(change.machine.name, job.spec, zones);
   return true;
 }
 
-void PlacementPass::count_on(const std::string& machine, const model::JobSpec& spec,
+void PlacementPass::count_task_on(const std::string& machine, const model::JobSpec& spec,
                              ZoneLimits& zones) const {
-  const model::Machine* known = env_.replica.machine(machine);
-  if (known == nullptr) return;
-  zones.add(known->zone);
-  if (spec.one_zone) zones.restrict_to(known->zone);
+  const model::Machine* record = env_.replica.machine(machine);
+  if (record == nullptr) return;
+  zones.add(record->zone);
+  if (spec.one_zone) zones.restrict_to(record->zone);
 }
 
 // How many more of the job's tasks the machine takes, also by the team's quota.
-uint32_t PlacementPass::slots(const model::JobSpec& spec, size_t machine) {
+uint32_t PlacementPass::free_slots(const model::JobSpec& spec, size_t machine) {
   const MachineCapacity& capacity = *machines_[machine];
-  double count = feasibility_.free_slots(spec, capacity, set_aside_[machine]);
+  double count = feasibility_.free_slots(spec, capacity, reserved_[machine]);
   if (count < 1) return 0;
-  count = std::min(count, env_.quota_usage.tasks_left(spec, capacity.partition));
+  count = std::min(count, env_.quota_usage.remaining_tasks(spec, capacity.partition));
   return count < 1 ? 0 : static_cast<uint32_t>(count);
 }
 
-std::vector<MachineOption> PlacementPass::options_for(const model::Job& job,
+std::vector<MachineOption> PlacementPass::machine_options(const model::Job& job,
                                                       const ZoneLimits& zones) {
   std::vector<MachineOption> options;
   for (size_t i = 0; i < machines_.size(); ++i) {
     const MachineCapacity& capacity = *machines_[i];
     if (!placement::Feasibility::allows(job.spec, capacity)) continue;
     if (zones.left(capacity.zone) == 0) continue;
-    const uint32_t count = slots(job.spec, i);
+    const uint32_t count = free_slots(job.spec, i);
     if (count == 0) continue;
     const double score = placement::score(job, capacity, cheapest_cpu_,
-                                          env_.failed_there(job.spec.id, capacity.machine));
+                                          env_.has_failed_on(job.spec.id, capacity.machine));
     options.push_back({i, &capacity, count, placement::image_wait_s(job, capacity), score});
   }
   return options;
 }
 
 // Plans places on the machines, in their order, and decides them.
-void PlacementPass::assign(std::span<const MachineOption> options, Demand& demand,
+void PlacementPass::assign_tasks(std::span<const MachineOption> options, Demand& demand,
                            ShardTasks& tasks) {
   const model::Job& job = *tasks.job;
   const model::TaskShard& shard = job.shards[tasks.shard];
@@ -217,7 +217,7 @@
       env_.context.debug("placement", "task {} on {} is evicted to make room for {}",
                          wire::task_name(ref), worker.name, job.spec.id);
       env_.context.count("tasks_stopped");
-      env_.evicted.evict(ref, env_.replica.task(ref)->attempt);
+      env_.evicted_tasks.evict(ref, env_.replica.task(ref)->attempt);
     }
     env_.workers.mark_changed(worker);
     env_.capacities.recompute(worker);
@@ -225,13 +225,13 @@
   return plan.tasks;
 }
 
-std::vector<placement::PreemptibleTask> PlacementPass::list_preemptible(
+std::vector<placement::PreemptibleTask> PlacementPass::preemptible_tasks(
     const MachineCapacity& machine, model::Priority below) const {
   std::vector<placement::PreemptibleTask> tasks;
   for (const auto& ref : env_.replica.placed_on(machine.machine)) {
     const model::JobSpec& spec = env_.replica.job(ref.job)->spec;
     if (spec.priority >= below || spec.shape == model::Shape::kGang) continue;
-    if (env_.evicted.contains(ref)) continue;
+    if (env_.evicted_tasks.contains(ref)) continue;
     tasks.push_back({spec.priority, ref, spec.request});
   }
   return tasks;
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -39,14 +39,14 @@
   struct Environment {
     runtime::Context& context;
     const store::Replica& replica;
-    const changes::OwnedPartitions& owned;
+    const changes::OwnedPartitions& owned_partitions;
     changes::TaskChangeQueue& changes;
     agent::WorkerTable& workers;
     CapacityTracker& capacities;
     QuotaUsage& quota_usage;
-    placement::EvictedTasks& evicted;
+    placement::EvictedTasks& evicted_tasks;
     // Whether tasks of the job with this id have failed on the machine.
-    std::function<bool(const std::string& job, const std::string& machine)> failed_there;
+    std::function<bool(const std::string& job, const std::string& machine)> has_failed_on;
   };
 
   // `workers` are those that take tasks; the budget is kept from pass to pass.
@@ -58,9 +58,9 @@
   PlacementPass& operator=(const PlacementPass&) = delete;
 
   // Places as many of the shard's tasks as find room. Not for gangs.
-  void place_shard(const placement::WaitingShard& waiting);
+  void place_shard(const placement::WaitingShard& pending);
   // Places all tasks of the gang or none.
-  void place_gang(const placement::WaitingShard& waiting);
+  void place_gang(const placement::WaitingShard& pending);
 
  private:
   // Tasks of a shard that look for places, in the order in which they get them.
@@ -71,25 +71,25 @@
     size_t placed = 0;              // of these
   };
 
-  std::vector<uint32_t> tasks_to_place(const placement::WaitingShard& waiting) const;
+  std::vector<uint32_t> tasks_to_place(const placement::WaitingShard& pending) const;
   std::optional<placement::ZoneLimits> zone_limits(const model::Job& job) const;
-  bool count_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
-  void count_on(const std::string& machine, const model::JobSpec& spec,
+  bool count_tasks_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
+  void count_task_on(const std::string& machine, const model::JobSpec& spec,
                 placement::ZoneLimits& zones) const;
-  uint32_t slots(const model::JobSpec& spec, size_t machine);
-  std::vector<placement::MachineOption> options_for(const model::Job& job,
+  uint32_t free_slots(const model::JobSpec& spec, size_t machine);
+  std::vector<placement::MachineOption> machine_options(const model::Job& job,
                                                     const placement::ZoneLimits& zones);
-  void assign(std::span<const placement::MachineOption> options, placement::Demand& demand,
+  void assign_tasks(std::span<const placement::MachineOption> options, placement::Demand& demand,
               ShardTasks& tasks);
   uint32_t preempt(const model::Job& job, uint32_t tasks, const placement::ZoneLimits& zones,
                    bool only_with_image);
-  std::vector<placement::PreemptibleTask> list_preemptible(
+  std::vector<placement::PreemptibleTask> preemptible_tasks(
       const placement::MachineCapacity& machine, model::Priority below) const;
 
   std::optional<uint64_t> next_gang_attempt(const model::Job& job) const;
   placement::Demand gang_demand(const model::JobSpec& spec);
-  void make_room_for_gang(const model::Job& job);
-  uint32_t set_aside_for_gang(const model::JobSpec& spec, const std::string& zone);
+  void reserve_capacity_for_gang(const model::Job& job);
+  uint32_t reserve_free_slots(const model::JobSpec& spec, const std::string& zone);
 
   const Environment env_;
   const std::vector<agent::Worker*> workers_;
@@ -97,8 +97,8 @@
   const placement::Feasibility feasibility_;
   const double cheapest_cpu_;  // price, an hour
   placement::PreemptionPlanner preemption_;
-  placement::UnmetRequests unmet_;
-  std::vector<model::Resources> set_aside_;  // by machine: free, and kept for gangs that wait
+  placement::UnmetRequests unmet_requests_;
+  std::vector<model::Resources> reserved_;  // by machine: free, and kept for gangs that wait
 };
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -20,47 +20,47 @@
 
 namespace {
 // A gang that waits longer than so many reports keeps what comes free from work of lower rank.
-constexpr double kSetAsideReports = 1;
+constexpr double kReserveAfterHeartbeats = 1;
 }  // namespace
 
 // The number of the next attempt, if all tasks of the one before are gone for certain.
 std::optional<uint64_t> PlacementPass::next_gang_attempt(const model::Job& job) const {
   const model::TaskShard& shard = job.shards.front();
-  const changes::ShardChanges* pending = env_.changes.find_shard({job.spec.id, 0});
-  uint64_t last = 0;
+  const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, 0});
+  uint64_t last_attempt = 0;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
-    last = std::max(last, task.attempt);
-    const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
+    last_attempt = std::max(last_attempt, task.attempt);
+    const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
-      if (change->kind != TaskChange::Kind::kLost || pending->in_flight()) return std::nullopt;
+      if (change->kind != TaskChange::Kind::kLost || shard_changes->in_flight()) return std::nullopt;
     } else if (!env_.replica.waits(task) ||
                (!task.machine.empty() && !env_.replica.lists_cover(shard))) {
       return std::nullopt;
     }
   }
-  return last + 1;
+  return last_attempt + 1;
 }
 
 // The whole gang, with what the team's quota still takes in each partition.
 Demand PlacementPass::gang_demand(const model::JobSpec& spec) {
   Demand demand{spec.tasks, ZoneLimits(spec), {}};
-  for (const int partition : env_.owned.list())
+  for (const int partition : env_.owned_partitions.list())
     demand.quota_tasks[partition] =
-        std::clamp<double>(env_.quota_usage.tasks_left(spec, partition), 0, spec.tasks);
+        std::clamp<double>(env_.quota_usage.remaining_tasks(spec, partition), 0, spec.tasks);
   return demand;
 }
 
-void PlacementPass::place_gang(const WaitingShard& waiting) {
-  const model::Job& job = *waiting.job;
+void PlacementPass::place_gang(const WaitingShard& pending) {
+  const model::Job& job = *pending.job;
   if (job.shards.size() != 1) return;
   const auto attempt = next_gang_attempt(job);
   if (!attempt) return;
-  auto options = options_for(job, ZoneLimits(job.spec));
+  auto options = machine_options(job, ZoneLimits(job.spec));
   const auto plan =
       placement::plan_gang(std::move(options), gang_demand(job.spec), job.spec.one_zone);
-  if (plan.empty()) return make_room_for_gang(job);
+  if (plan.empty()) return reserve_capacity_for_gang(job);
   uint32_t next = 0;
   for (const auto& assignment : plan) {
     agent::Worker& worker = *workers_[assignment.machine];
@@ -77,32 +77,32 @@
 
 // Evicts work of lower priority if that makes room for the whole gang, and keeps what is free from
 // whoever comes after it in this pass: smaller jobs would take it each time.
-void PlacementPass::make_room_for_gang(const model::Job& job) {
-  const auto room = placement::most_gang_room(job.spec, machines_, feasibility_);
-  if (!room) return;
+void PlacementPass::reserve_capacity_for_gang(const model::Job& job) {
+  const auto best_zone = placement::most_gang_room(job.spec, machines_, feasibility_);
+  if (!best_zone) return;
   const auto& context = env_.context;
-  const bool waits_long =
-      context.now.wall - job.submitted > kSetAsideReports * context.settings.platform.report_s;
-  const bool enough = room->tasks >= job.spec.tasks;
-  if (!enough && !waits_long) return;
-  const uint32_t missing = job.spec.tasks - set_aside_for_gang(job.spec, room->zone);
-  if (!enough || missing == 0 || job.spec.priority == model::Priority::kIdle) return;
+  const bool has_waited_long =
+      context.now.wall - job.submitted > kReserveAfterHeartbeats * context.settings.platform.report_s;
+  const bool is_sufficient = best_zone->tasks >= job.spec.tasks;
+  if (!is_sufficient && !has_waited_long) return;
+  const uint32_t missing = job.spec.tasks - reserve_free_slots(job.spec, best_zone->zone);
+  if (!is_sufficient || missing == 0 || job.spec.priority == model::Priority::kIdle) return;
   ZoneLimits zones(job.spec);
-  zones.restrict_to(room->zone);
+  zones.restrict_to(best_zone->zone);
   preempt(job, missing, zones, false);
 }
 
 // Returns for how many of the gang's tasks there is room, which nobody else gets in this pass. An
 // empty zone stands for all.
-uint32_t PlacementPass::set_aside_for_gang(const model::JobSpec& spec, const std::string& zone) {
+uint32_t PlacementPass::reserve_free_slots(const model::JobSpec& spec, const std::string& zone) {
   uint32_t missing = spec.tasks;
   for (size_t i = 0; i < machines_.size() && missing > 0; ++i) {
     const MachineCapacity& capacity = *machines_[i];
     if (!placement::Feasibility::allows(spec, capacity)) continue;
     if (!zone.empty() && capacity.zone != zone) continue;
-    const uint32_t here = std::min(missing, slots(spec, i));
-    set_aside_[i] += spec.request * here;
-    missing -= here;
+    const uint32_t count = std::min(missing, free_slots(spec, i));
+    reserved_[i] += spec.request * count;
+    missing -= count;
   }
   return spec.tasks - missing;
 }
--- a/src/rooksill/partition/quota_usage.cc
+++ b/src/rooksill/partition/quota_usage.cc
@@ -19,13 +19,13 @@
 }
 
 const model::QuotaShare& QuotaUsage::share(const std::string& team, int partition) {
-  auto [entry, fresh] = shares_.try_emplace({partition, team});
+  auto [entry, is_new] = shares_.try_emplace({partition, team});
   model::QuotaShare& share = entry->second;
-  if (!fresh) return share;
+  if (!is_new) return share;
   share = quota::quota_share(settings_, replica_, team, partition);
-  const model::QuotaShare leaving = transfers_.leaving(team, partition);
-  share.cpus -= leaving.cpus;
-  share.gpus -= leaving.gpus;
+  const model::QuotaShare outgoing = quota_transfers_.outgoing(team, partition);
+  share.cpus -= outgoing.cpus;
+  share.gpus -= outgoing.gpus;
   return share;
 }
 
@@ -35,25 +35,25 @@
   return {share.cpus - used.cpus, share.gpus - used.gpus};
 }
 
-double QuotaUsage::tasks_left(const model::JobSpec& spec, int partition) {
-  const model::QuotaShare left = unused(share(spec.team, partition), spec.team, partition);
-  return spec.tasks_in({left.cpus, left.gpus, std::numeric_limits<double>::infinity()});
+double QuotaUsage::remaining_tasks(const model::JobSpec& spec, int partition) {
+  const model::QuotaShare remaining = unused(share(spec.team, partition), spec.team, partition);
+  return spec.tasks_in({remaining.cpus, remaining.gpus, std::numeric_limits<double>::infinity()});
 }
 
 bool QuotaUsage::allows_task(const model::JobSpec& spec, int partition) {
   const model::Resources& used = used_[{partition, spec.team}];
-  const model::QuotaShare& most = share(spec.team, partition);
-  return used.cpus + spec.request.cpus <= most.cpus + kRoundingError &&
-         used.gpus + spec.request.gpus <= most.gpus + kRoundingError;
+  const model::QuotaShare& limit = share(spec.team, partition);
+  return used.cpus + spec.request.cpus <= limit.cpus + kRoundingError &&
+         used.gpus + spec.request.gpus <= limit.gpus + kRoundingError;
 }
 
-bool QuotaUsage::exceeded(const std::string& team, int partition) {
+bool QuotaUsage::is_exceeded(const std::string& team, int partition) {
   const model::Resources& used = used_[{partition, team}];
-  const model::QuotaShare& most = share(team, partition);
-  return used.cpus > most.cpus + kRoundingError || used.gpus > most.gpus + kRoundingError;
+  const model::QuotaShare& limit = share(team, partition);
+  return used.cpus > limit.cpus + kRoundingError || used.gpus > limit.gpus + kRoundingError;
 }
 
-std::vector<wire::QuotaUse> QuotaUsage::report(
+std::vector<wire::QuotaUse> QuotaUsage::owned_usage(
     const std::function<bool(int partition)>& owns) const {
   std::vector<wire::QuotaUse> uses;
   const auto& quotas = settings_.platform.teams;
@@ -61,8 +61,8 @@
     auto quota = quotas.find(key.team);
     if (!owns(key.partition) || quota == quotas.end()) continue;
     if (quota->second.cpus_max <= 0 && quota->second.gpus_max <= 0) continue;
-    const model::QuotaShare leaving = transfers_.leaving(key.team, key.partition);
-    uses.push_back({key.partition, key.team, used.cpus + leaving.cpus, used.gpus + leaving.gpus});
+    const model::QuotaShare outgoing = quota_transfers_.outgoing(key.team, key.partition);
+    uses.push_back({key.partition, key.team, used.cpus + outgoing.cpus, used.gpus + outgoing.gpus});
   }
   return uses;
 }
--- a/src/rooksill/partition/quota_usage.h
+++ b/src/rooksill/partition/quota_usage.h
@@ -25,7 +25,7 @@
  public:
   QuotaUsage(const Settings& settings, const store::Replica& replica,
              const quota::QuotaTransfers& transfers)
-      : settings_(settings), replica_(replica), transfers_(transfers) {}
+      : settings_(settings), replica_(replica), quota_transfers_(transfers) {}
 
   // Counts what the tasks on a machine use, and takes it back. A machine's use has to be taken back
   // before its capacity is computed anew.
@@ -36,20 +36,20 @@
   // without a quota.
   const model::QuotaShare& share(const std::string& team, int partition);
   // Shares are computed once and kept until this is called: at the start of each pass.
-  void refresh_shares() { shares_.clear(); }
+  void invalidate_shares() { shares_.clear(); }
 
   // The part of a share that is not in use; below zero if more than the share is.
   model::QuotaShare unused(const model::QuotaShare& share, const std::string& team, int partition);
   // How many more tasks of the job the team's share takes. A whole number, infinite without a
   // quota.
-  double tasks_left(const model::JobSpec& spec, int partition);
+  double remaining_tasks(const model::JobSpec& spec, int partition);
   // Whether one more task of the job is within the team's share.
   bool allows_task(const model::JobSpec& spec, int partition);
   // Whether what the team has in the partition is more than its share already.
-  bool exceeded(const std::string& team, int partition);
+  bool is_exceeded(const std::string& team, int partition);
 
   // For the leader: what teams with a quota use in the partitions owned.
-  std::vector<wire::QuotaUse> report(const std::function<bool(int partition)>& owns) const;
+  std::vector<wire::QuotaUse> owned_usage(const std::function<bool(int partition)>& owns) const;
 
  private:
   struct Key {
@@ -60,7 +60,7 @@
 
   const Settings& settings_;
   const store::Replica& replica_;
-  const quota::QuotaTransfers& transfers_;
+  const quota::QuotaTransfers& quota_transfers_;
   std::map<Key, model::Resources> used_;  // memory is summed as well, and has no quota
   std::map<Key, model::QuotaShare> shares_;
 };
--- a/src/rooksill/partition/routed_shards.cc
+++ b/src/rooksill/partition/routed_shards.cc
@@ -6,7 +6,7 @@
 
 namespace {
 // How often, in a report interval, shards are routed anew while there is no leader.
-constexpr double kFallbacksPerReport = 6;
+constexpr double kFallbackRoutingsPerHeartbeat = 6;
 }  // namespace
 
 void RoutedShards::apply(const wire::RoutingUpdate& update) {
@@ -16,7 +16,7 @@
 }
 
 bool RoutedShards::route_without_leader() {
-  const double interval_s = context_.settings.platform.report_s / kFallbacksPerReport;
+  const double interval_s = context_.settings.platform.report_s / kFallbackRoutingsPerHeartbeat;
   if (!fallback_timer_.fire(context_.now.steady, interval_s)) return false;
   for (const auto& id : replica_.waiting_jobs) route_job_without_leader(*replica_.job(id));
   return true;
--- a/src/rooksill/partition/routed_shards.h
+++ b/src/rooksill/partition/routed_shards.h
@@ -25,7 +25,7 @@
       : context_(context), replica_(replica), owned_(owned) {}
 
   // Whether a message of the leader counts: not if one of a later term has come before.
-  bool current(const wire::RoutingUpdate& update) const { return update.term >= term_; }
+  bool is_current(const wire::RoutingUpdate& update) const { return update.term >= term_; }
   // Adds the leader's routes; a full update replaces what was routed before. It has to be current.
   void apply(const wire::RoutingUpdate& update);
   void add(const model::ShardId& shard) { shards_.insert(shard); }
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -12,116 +12,116 @@
 
 namespace {
 
-constexpr double kPauseReports = 0.5;  // between two transfers of one team's quota
+constexpr double kTransferIntervalHeartbeats = 0.5;  // between two transfers of one team's quota
 
 // Tasks that have room in a partition and are beyond its share.
-double tasks_beyond_share(const PartitionFit& fit, double wanted) {
-  return std::min(fit.room, wanted) - std::min(fit.within_share, wanted);
+double tasks_beyond_share(const PartitionFit& fit, double requested_tasks) {
+  return std::min(fit.within_capacity, requested_tasks) - std::min(fit.within_share, requested_tasks);
 }
 
-model::QuotaShare smaller(const model::QuotaShare& a, const model::QuotaShare& b) {
+model::QuotaShare componentwise_min(const model::QuotaShare& a, const model::QuotaShare& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus)};
 }
 
 }  // namespace
 
-void QuotaBalancer::refresh(const std::vector<wire::QuotaUse>& use) {
-  left_.clear();
+void QuotaBalancer::reset(const std::vector<wire::QuotaUse>& usage) {
+  remaining_.clear();
   used_.clear();
   shortages_.clear();
-  for (const auto& reported : use)
+  for (const auto& reported : usage)
     used_[{reported.team, reported.partition}] = {reported.cpus, reported.gpus};
 }
 
-model::QuotaShare& QuotaBalancer::left(const std::string& team, int partition) {
-  auto [known, is_new] = left_.try_emplace({team, partition});
-  model::QuotaShare& left = known->second;
-  if (!is_new) return left;
-  left = quota_share(context_.settings, replica_, team, partition);
+model::QuotaShare& QuotaBalancer::remaining(const std::string& team, int partition) {
+  auto [entry, is_new] = remaining_.try_emplace({team, partition});
+  model::QuotaShare& remaining = entry->second;
+  if (!is_new) return remaining;
+  remaining = quota_share(context_.settings, replica_, team, partition);
   auto used = used_.find({team, partition});
-  if (used != used_.end()) left = without(left, used->second);
-  return left;
+  if (used != used_.end()) remaining = saturating_subtract(remaining, used->second);
+  return remaining;
 }
 
-double QuotaBalancer::tasks_left(const model::JobSpec& spec, int partition) {
-  const model::QuotaShare& share = left(spec.team, partition);
+double QuotaBalancer::remaining_tasks(const model::JobSpec& spec, int partition) {
+  const model::QuotaShare& share = remaining(spec.team, partition);
   return spec.tasks_in({share.cpus, share.gpus, std::numeric_limits<double>::infinity()});
 }
 
 void QuotaBalancer::deduct(const model::JobSpec& spec, int partition, double tasks) {
-  model::QuotaShare& share = left(spec.team, partition);
-  share = without(share, quota_of_tasks(spec, tasks));
+  model::QuotaShare& share = remaining(spec.team, partition);
+  share = saturating_subtract(share, quota_of_tasks(spec, tasks));
 }
 
 // The partition that could do most for this work; among equals the one with most left already, so
 // that what several others have left comes together.
-std::optional<int> QuotaBalancer::best_receiver(const std::string& team, double wanted,
+std::optional<int> QuotaBalancer::best_receiver(const std::string& team, double requested_tasks,
                                                 const std::vector<PartitionFit>& fits) {
   std::optional<int> best;
-  double most = 0;
+  double best_tasks = 0;
   for (size_t i = 0; i < fits.size(); ++i) {
     const int partition = static_cast<int>(i);
-    const double tasks = tasks_beyond_share(fits[i], wanted);
+    const double tasks = tasks_beyond_share(fits[i], requested_tasks);
     if (tasks < 1) continue;
-    const bool better = !best || tasks > most ||
-                        (tasks == most && left(team, partition).cpus > left(team, *best).cpus);
-    if (!better) continue;
+    const bool is_better = !best || tasks > best_tasks ||
+                        (tasks == best_tasks && remaining(team, partition).cpus > remaining(team, *best).cpus);
+    if (!is_better) continue;
     best = partition;
-    most = tasks;
+    best_tasks = tasks;
   }
   return best;
 }
 
-void QuotaBalancer::note_shortage(const model::JobSpec& spec, double wanted,
+void QuotaBalancer::record_shortage(const model::JobSpec& spec, double requested_tasks,
                                   const std::vector<PartitionFit>& fits) {
   if (shortages_.count(spec.team) != 0) return;
-  const std::optional<int> to = best_receiver(spec.team, wanted, fits);
-  if (!to) return;
+  const std::optional<int> receiver = best_receiver(spec.team, requested_tasks, fits);
+  if (!receiver) return;
   Shortage shortage;
-  shortage.to = *to;
+  shortage.receiver = *receiver;
   for (size_t i = 0; i < fits.size(); ++i) {
-    const double useful = std::min(fits[i].within_share, wanted);
+    const double usable_tasks = std::min(fits[i].within_share, requested_tasks);
     shortage.spare.push_back(
-        without(left(spec.team, static_cast<int>(i)), quota_of_tasks(spec, useful)));
+        saturating_subtract(remaining(spec.team, static_cast<int>(i)), quota_of_tasks(spec, usable_tasks)));
   }
-  const auto receiver = static_cast<size_t>(*to);
-  const double tasks = tasks_beyond_share(fits[receiver], wanted);
-  shortage.missing = without(quota_of_tasks(spec, tasks), shortage.spare[receiver]);
+  const auto receiver_index = static_cast<size_t>(*receiver);
+  const double extra_tasks = tasks_beyond_share(fits[receiver_index], requested_tasks);
+  shortage.missing = saturating_subtract(quota_of_tasks(spec, extra_tasks), shortage.spare[receiver_index]);
   shortages_.emplace(spec.team, std::move(shortage));
 }
 
 std::vector<wire::QuotaTransfer> QuotaBalancer::decide_transfers(
-    const std::vector<bool>& can_give) {
+    const std::vector<bool>& can_be_source) {
   std::vector<wire::QuotaTransfer> transfers;
   for (const auto& [team, shortage] : std::exchange(shortages_, {})) {
-    double& next = next_transfer_[team];
-    if (context_.now.steady < next || !wire::valid_team_name(team)) continue;
-    auto transfer = transfer_for(team, shortage, can_give);
+    double& next_transfer_at_s = next_transfer_at_s_[team];
+    if (context_.now.steady < next_transfer_at_s || !wire::valid_team_name(team)) continue;
+    auto transfer = choose_transfer(team, shortage, can_be_source);
     if (!transfer) continue;
-    next = context_.now.steady + kPauseReports * context_.settings.platform.report_s;
+    next_transfer_at_s = context_.now.steady + kTransferIntervalHeartbeats * context_.settings.platform.report_s;
     transfers.push_back(std::move(*transfer));
   }
   return transfers;
 }
 
 // From the partition that can give most of what is missing; nothing if none can.
-std::optional<wire::QuotaTransfer> QuotaBalancer::transfer_for(const std::string& team,
+std::optional<wire::QuotaTransfer> QuotaBalancer::choose_transfer(const std::string& team,
                                                                const Shortage& shortage,
-                                                               const std::vector<bool>& can_give) {
-  std::optional<size_t> from;
+                                                               const std::vector<bool>& can_be_source) {
+  std::optional<size_t> source;
   model::QuotaShare amount;
   for (size_t i = 0; i < shortage.spare.size(); ++i) {
-    const model::QuotaShare given = smaller(shortage.spare[i], shortage.missing);
-    const double worth = given.cpus + given.gpus;
-    const bool possible = static_cast<int>(i) != shortage.to && can_give[i];
-    if (!possible || worth <= model::Resources::kRoundingError) continue;
-    if (from && worth <= amount.cpus + amount.gpus) continue;
-    from = i;
-    amount = given;
+    const model::QuotaShare available = componentwise_min(shortage.spare[i], shortage.missing);
+    const double available_total = available.cpus + available.gpus;
+    const bool is_eligible = static_cast<int>(i) != shortage.receiver && can_be_source[i];
+    if (!is_eligible || available_total <= model::Resources::kRoundingError) continue;
+    if (source && available_total <= amount.cpus + amount.gpus) continue;
+    source = i;
+    amount = available;
   }
-  if (!from) return std::nullopt;
-  return wire::QuotaTransfer{team,        static_cast<int>(*from),
-                             shortage.to, amount.cpus,
+  if (!source) return std::nullopt;
+  return wire::QuotaTransfer{team,        static_cast<int>(*source),
+                             shortage.receiver, amount.cpus,
                              amount.gpus, division_revision(replica_, team)};
 }
 
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -13,16 +13,16 @@
 namespace {
 
 // A quota is small if it holds fewer than so many of the largest machines for each partition.
-constexpr double kSmallQuotaMachines = 2;
+constexpr double kSmallQuotaMachinesPerPartition = 2;
 
-double largest_machine(const store::Replica& replica, double model::Resources::*amount) {
+double largest_machine_size(const store::Replica& replica, double model::Resources::*amount) {
   double largest = 0;
   for (const auto& [name, type] : replica.types) largest = std::max(largest, type.capacity.*amount);
   return largest;
 }
 
-bool is_small(double quota, double machine, int partitions) {
-  return quota < kSmallQuotaMachines * machine * partitions;
+bool is_small(double quota, double machine_size, int partitions) {
+  return quota < kSmallQuotaMachinesPerPartition * machine_size * partitions;
 }
 
 // Where a small quota lies at first: spreads teams over the partitions.
@@ -33,9 +33,9 @@
 }
 
 // The share before the first transfer.
-double initial_share(double quota, double machine, const TeamPartition& at, int partitions) {
-  if (!is_small(quota, machine, partitions)) return quota / partitions;
-  return home_partition(at.team, partitions) == at.partition ? quota : 0;
+double initial_share(double quota, double machine_size, const TeamPartition& share_key, int partitions) {
+  if (!is_small(quota, machine_size, partitions)) return quota / partitions;
+  return home_partition(share_key.team, partitions) == share_key.partition ? quota : 0;
 }
 
 }  // namespace
@@ -53,11 +53,11 @@
       division->second.revision != model::kNoRevision) {
     share = division->second.shares[static_cast<size_t>(partition)];
   } else {
-    const TeamPartition at{team, partition};
-    const double cpus = largest_machine(replica, &model::Resources::cpus);
-    const double gpus = largest_machine(replica, &model::Resources::gpus);
-    share.cpus = initial_share(quota.cpus_max, cpus, at, partitions);
-    share.gpus = initial_share(quota.gpus_max, gpus, at, partitions);
+    const TeamPartition share_key{team, partition};
+    const double largest_cpus = largest_machine_size(replica, &model::Resources::cpus);
+    const double largest_gpus = largest_machine_size(replica, &model::Resources::gpus);
+    share.cpus = initial_share(quota.cpus_max, largest_cpus, share_key, partitions);
+    share.gpus = initial_share(quota.gpus_max, largest_gpus, share_key, partitions);
   }
   if (quota.cpus_max <= 0) share.cpus = kUnlimited;
   if (quota.gpus_max <= 0) share.gpus = kUnlimited;
@@ -70,14 +70,14 @@
   auto quota = settings.platform.teams.find(team);
   if (quota == settings.platform.teams.end() || quota->second.cpus_max <= 0) return std::nullopt;
   const int partitions = static_cast<int>(replica.leases.size());
-  const double machine = largest_machine(replica, &model::Resources::cpus);
-  if (!is_small(quota->second.cpus_max, machine, partitions)) return std::nullopt;
-  int most = 0;
+  const double largest_cpus = largest_machine_size(replica, &model::Resources::cpus);
+  if (!is_small(quota->second.cpus_max, largest_cpus, partitions)) return std::nullopt;
+  int holder = 0;
   for (int partition = 1; partition < partitions; ++partition)
     if (quota_share(settings, replica, team, partition).cpus >
-        quota_share(settings, replica, team, most).cpus)
-      most = partition;
-  return most;
+        quota_share(settings, replica, team, holder).cpus)
+      holder = partition;
+  return holder;
 }
 
 model::Revision division_revision(const store::Replica& replica, const std::string& team) {
@@ -89,7 +89,7 @@
   return {tasks * spec.request.cpus, tasks * spec.request.gpus};
 }
 
-model::QuotaShare without(const model::QuotaShare& share, const model::QuotaShare& amount) {
+model::QuotaShare saturating_subtract(const model::QuotaShare& share, const model::QuotaShare& amount) {
   return {std::max(0.0, share.cpus - amount.cpus), std::max(0.0, share.gpus - amount.gpus)};
 }
 
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -15,15 +15,15 @@
 namespace {
 
 // A share of a quota that is not limited is infinite; nothing of it is passed on or recorded.
-double finite(double amount) { return std::isfinite(amount) ? amount : 0; }
+double finite_or_zero(double amount) { return std::isfinite(amount) ? amount : 0; }
 
 }  // namespace
 
-model::QuotaShare QuotaTransfers::leaving(const std::string& team, int partition) const {
+model::QuotaShare QuotaTransfers::outgoing(const std::string& team, int partition) const {
   auto found = transfers_.find(team);
   if (found == transfers_.end() || found->second.from != partition) return {};
   // Once the division has changed, the store says what is left, whoever changed it.
-  if (division_revision(replica_, team) != found->second.division) return {};
+  if (division_revision(replica_, team) != found->second.division_revision) return {};
   return found->second.amount;
 }
 
@@ -35,13 +35,13 @@
   Transfer transfer;
   transfer.from = request.from;
   transfer.to = request.to;
-  transfer.amount.cpus = std::min(request.cpus, finite(unused.cpus));
-  transfer.amount.gpus = std::min(request.gpus, finite(unused.gpus));
+  transfer.amount.cpus = std::min(request.cpus, finite_or_zero(unused.cpus));
+  transfer.amount.gpus = std::min(request.gpus, finite_or_zero(unused.gpus));
   const model::QuotaShare& amount = transfer.amount;
-  const bool valid = amount.cpus >= 0 && amount.gpus >= 0 && amount.cpus + amount.gpus > 0;
-  if (!valid) return;
-  transfer.division = request.revision;
-  transfer.lease = replica_.leases[static_cast<size_t>(request.from)].revision;
+  const bool is_valid = amount.cpus >= 0 && amount.gpus >= 0 && amount.cpus + amount.gpus > 0;
+  if (!is_valid) return;
+  transfer.division_revision = request.revision;
+  transfer.lease_revision = replica_.leases[static_cast<size_t>(request.from)].revision;
   context_.info("quota", "team {}: {} CPUs and {} GPUs of its quota pass from partition {} to {}",
                 request.team, amount.cpus, amount.gpus, transfer.from, transfer.to);
   send(request.team, transfers_.emplace(request.team, transfer).first->second);
@@ -53,7 +53,7 @@
   std::vector<model::QuotaShare> shares;
   for (int partition = 0; partition < partitions; ++partition) {
     const model::QuotaShare share = quota_share(context_.settings, replica_, team, partition);
-    shares.push_back({finite(share.cpus), finite(share.gpus)});
+    shares.push_back({finite_or_zero(share.cpus), finite_or_zero(share.gpus)});
   }
   model::QuotaShare& from = shares[static_cast<size_t>(transfer.from)];
   model::QuotaShare& to = shares[static_cast<size_t>(transfer.to)];
@@ -67,10 +67,10 @@
 void QuotaTransfers::send(const std::string& team, Transfer& transfer) {
   const std::string key = wire::quota_key(team);
   const bool sent = committer_.commit(
-      {{key, transfer.division}, {wire::lease_key(transfer.from), transfer.lease}},
+      {{key, transfer.division_revision}, {wire::lease_key(transfer.from), transfer.lease_revision}},
       {{key, wire::encode_quota_division(division_after(team, transfer)), 0}},
       [this, team](const store::TransactionResult& result) { on_result(team, result); });
-  transfer.progress = sent ? Progress::kSent : Progress::kToSend;
+  transfer.progress = sent ? Progress::kSent : Progress::kReadyToSend;
 }
 
 void QuotaTransfers::on_result(const std::string& team, const store::TransactionResult& result) {
@@ -86,15 +86,15 @@
       // The keys read back show which precondition failed: tick() forgets the transfer then.
       return read_back(team, transfer, result.failed);
     case store::TransactionOutcome::kUnknown:
-      transfer.unanswered_copy = true;
+      transfer.has_unanswered_copy = true;
       return read_back(team, transfer, {wire::quota_key(team)});
     case store::TransactionOutcome::kRefused:
     case store::TransactionOutcome::kNoLease:
     case store::TransactionOutcome::kTooLarge:
       // Not executed. Where an earlier copy may yet be, the amount stays gone until that is
       // settled.
-      transfer.progress = Progress::kToSend;
-      if (!transfer.unanswered_copy) transfers_.erase(found);
+      transfer.progress = Progress::kReadyToSend;
+      if (!transfer.has_unanswered_copy) transfers_.erase(found);
       return;
   }
 }
@@ -104,20 +104,20 @@
   transfer.progress = Progress::kReadingBack;
   committer_.refresh(std::move(keys), [this, team] {
     auto found = transfers_.find(team);
-    if (found != transfers_.end()) found->second.progress = Progress::kToSend;
+    if (found != transfers_.end()) found->second.progress = Progress::kReadyToSend;
   });
 }
 
-void QuotaTransfers::tick(const OwnsPartition& owns) {
+void QuotaTransfers::retry_transfers(const OwnsPartition& owns) {
   for (auto it = transfers_.begin(); it != transfers_.end();) {
     const auto& [team, transfer] = *it;
     // With either precondition changed, no copy of the transaction can be executed any more.
-    const bool over = !owns(transfer.from, transfer.lease) ||
-                      division_revision(replica_, team) != transfer.division;
-    it = over && transfer.progress == Progress::kToSend ? transfers_.erase(it) : std::next(it);
+    const bool is_obsolete = !owns(transfer.from, transfer.lease_revision) ||
+                      division_revision(replica_, team) != transfer.division_revision;
+    it = is_obsolete && transfer.progress == Progress::kReadyToSend ? transfers_.erase(it) : std::next(it);
   }
   for (auto& [team, transfer] : transfers_)
-    if (transfer.progress == Progress::kToSend) send(team, transfer);
+    if (transfer.progress == Progress::kReadyToSend) send(team, transfer);
 }
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_transfers.h
+++ b/src/rooksill/quota/quota_transfers.h
@@ -33,13 +33,13 @@
   // Begins a transfer of at most what is unused of the giver's share. One at a time for each team.
   void start(const wire::QuotaTransfer& request, const model::QuotaShare& unused);
   // Sends again what has no certain outcome, and forgets what can no longer be executed.
-  void tick(const OwnsPartition& owns);
+  void retry_transfers(const OwnsPartition& owns);
   // What is to leave the partition, and may have left it already.
-  model::QuotaShare leaving(const std::string& team, int partition) const;
+  model::QuotaShare outgoing(const std::string& team, int partition) const;
 
  private:
   enum class Progress {
-    kToSend,
+    kReadyToSend,
     kSent,
     kReadingBack  // the keys that a transaction without success had as preconditions
   };
@@ -48,12 +48,12 @@
     int to = 0;
     model::QuotaShare amount;
     // Preconditions of the transaction.
-    model::Revision division = model::kNoRevision;
-    model::Revision lease = model::kNoRevision;
-    Progress progress = Progress::kToSend;
+    model::Revision division_revision = model::kNoRevision;
+    model::Revision lease_revision = model::kNoRevision;
+    Progress progress = Progress::kReadyToSend;
     // A copy of the transaction was sent and never answered, and may yet be executed. Stays set:
     // the answer to a later copy says nothing about it.
-    bool unanswered_copy = false;
+    bool has_unanswered_copy = false;
   };
   void send(const std::string& team, Transfer& transfer);
   std::vector<model::QuotaShare> division_after(const std::string& team,
