--- a/src/rooksill/partition/capacity_tracker.cc
+++ b/src/rooksill/partition/capacity_tracker.cc
@@ -29,7 +29,8 @@
   quota_usage_.add(worker.capacity);
 }
 
-placement::MachineCapacity CapacityTracker::capacity_without_tasks(const agent::Worker& worker) const {
+placement::MachineCapacity CapacityTracker::capacity_without_tasks(
+    const agent::Worker& worker) const {
   placement::MachineCapacity capacity;
   capacity.machine = worker.name;
   for (const auto& entry : worker.images.entries()) capacity.cached_images.push_back(entry.image);
@@ -54,14 +55,14 @@
     if (task != nullptr && evicted_tasks_.contains(ref, task->attempt)) {
       capacity.vacating += job.spec.request;
     } else if (job.spec.shape != model::Shape::kGang) {
-      // A gang is not preempted: it would have to go whole.
+      // Gang tasks are not preemptible: the whole gang would have to be evicted.
       capacity.cpus_by_priority[static_cast<size_t>(job.spec.priority)] += job.spec.request.cpus;
     }
   }
 }
 
 void CapacityTracker::add_pending_changes(const agent::Worker& worker,
-                                            placement::MachineCapacity& capacity) const {
+                                          placement::MachineCapacity& capacity) const {
   const auto& placed = replica_.placed_on(worker.name);
   std::set<model::TaskRef> ended;
   for (const auto& reported : worker.tasks) {
@@ -70,8 +71,8 @@
     if (job == nullptr || task == nullptr) continue;
     const bool is_placed_here = task->machine == worker.name && task->attempt == reported.attempt;
     const bool has_exited = reported.phase == wire::TaskPhase::kExited;
-    // What has ended uses nothing any more, though its result is not written yet. What should not
-    // be there uses its resources until it is gone.
+    // An exited task uses no resources, even while its result is not yet written. A task that
+    // should not be on this machine uses its resources until it has exited.
     if (has_exited && is_placed_here && placed.count(reported.task) != 0) {
       capacity.remove_task(job->spec);
       ended.insert(reported.task);
@@ -79,7 +80,8 @@
       capacity.add_task(*job);
     }
   }
-  // A task that ended here and is to start here again is among the placed ones, and counts anew.
+  // A task that exited here and is to restart on the same machine is still among the placed tasks;
+  // its new attempt is added again.
   for (const auto& ref : worker.pending_placements) {
     const model::Job* job = replica_.job(ref.job);
     if (job != nullptr && (placed.count(ref) == 0 || ended.count(ref) != 0))
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// The larger of the parts of its CPUs and its memory that are in use; 0 for an unknown type.
+// Returns the larger of the CPU and memory utilization (0 to 1); 0 if the machine's type is
+// unknown.
 double utilization(const placement::MachineCapacity& capacity) {
   if (capacity.type == nullptr || capacity.type->capacity.cpus <= 0) return 0;
   const model::Resources& total = capacity.type->capacity;
@@ -59,10 +60,10 @@
 
 std::string MachineSummary::to_string() const {
   return fmt::format(
-      "machines: {}, {} heard, {} taking tasks with {:.0f} of {:.0f} cores free, {} sent commands; "
-      "tasks: {} placed, reported {} fetching, {} gathering, {} running, {} saving, {} ended",
-      total_machines_, reporting_machines_, schedulable_, free_cpus_, cpus_, commands_in_flight_, placed_tasks_,
-      tasks_by_phase_[0], tasks_by_phase_[1], tasks_by_phase_[2], tasks_by_phase_[3],
+      "machines: {}, {} reporting, {} schedulable with {:.0f} of {:.0f} CPUs free, {} with commands in "
+      "flight; tasks: {} placed; reported: {} fetching, {} gathering, {} running, {} saving, {} exited",
+      total_machines_, reporting_machines_, schedulable_, free_cpus_, cpus_, commands_in_flight_,
+      placed_tasks_, tasks_by_phase_[0], tasks_by_phase_[1], tasks_by_phase_[2], tasks_by_phase_[3],
       tasks_by_phase_[4]);
 }
 
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -1,4 +1,4 @@
-// When a pass of placement runs, on which machines, and for which work.
+// Part of PartitionOwner: when a placement pass runs, on which machines and for which shards.
 #include <string>
 #include <vector>
 
@@ -12,16 +12,17 @@
 using placement::WaitingShard;
 
 namespace {
-constexpr double kPassIntervalSeconds = 0.025;  // seconds between two passes
+constexpr double kPassIntervalSeconds = 0.025;  // minimum, for a pass with few pending shards
+// The interval grows by kPassIntervalSeconds for every so many pending shards.
 constexpr double kShardsPerIntervalIncrease = 200;
 }  // namespace
 
 bool PartitionOwner::is_schedulable(const agent::Worker& worker) const {
-  const bool is_responding =
-      agent::seconds_silent(worker, context_) < agent::kProbeReports * context_.settings.platform.report_s ||
-      !worker.probe.failed;
-  return worker.capacity.type != nullptr && worker.reported && is_responding && !worker.failures.faulty &&
-         !worker.terminates_at && !workers_.draining(worker.name) &&
+  const bool is_responding = agent::seconds_silent(worker, context_) <
+                                 agent::kProbeReports * context_.settings.platform.report_s ||
+                             !worker.probe.failed;
+  return worker.capacity.type != nullptr && worker.reported && is_responding &&
+         !worker.failures.faulty && !worker.terminates_at && !workers_.draining(worker.name) &&
          worker.failures.avoid_until <= context_.now.steady;
 }
 
@@ -34,15 +35,15 @@
   return schedulable;
 }
 
-// Whether what the team has in the machine's partition, with what is placed there, is too much
-// already.
+// Returns whether the team already exceeds its quota share in the worker's partition, including the
+// tasks placed on the worker's machine.
 bool PartitionOwner::exceeds_quota(const std::string& team, agent::Worker& worker) {
   capacities_.capacity(worker);
   return quota_usage_.is_exceeded(team, worker.partition);
 }
 
-// Of the shards routed here, those that may have tasks to place; forgets those of jobs that are
-// over.
+// Returns the routed shards that may have tasks to place. Removes shards of jobs that have ended and
+// shards that no longer exist.
 std::vector<WaitingShard> PartitionOwner::pending_shards() {
   std::vector<WaitingShard> pending;
   for (auto it = routed_shards_.begin(); it != routed_shards_.end();) {
@@ -52,7 +53,8 @@
       continue;
     }
     if (job != nullptr) {
-      // A task that ended, which is not written yet, may get its next place already.
+      // A shard with unwritten changes is included: a task whose exit is not yet written may
+      // already be placed again.
       const bool has_changes = changes_.find_shard(*it) != nullptr;
       if ((has_changes || job->shards[it->index].unplaced() > 0) && !is_backing_off(it->job))
         pending.push_back(
@@ -70,7 +72,8 @@
   if (owned_partitions_.empty() || routed_shards_.empty()) return;
   std::vector<WaitingShard> pending = pending_shards();
   if (pending.empty()) return;
-  const double interval_factor = 1 + static_cast<double>(pending.size()) / kShardsPerIntervalIncrease;
+  const double interval_factor =
+      1 + static_cast<double>(pending.size()) / kShardsPerIntervalIncrease;
   next_pass_at_s_ = context_.now.steady + kPassIntervalSeconds * interval_factor;
   placement::sort_by_urgency(pending);
   quota_usage_.invalidate_shares();
@@ -78,8 +81,8 @@
   const auto has_failed_on = [this](const std::string& job, const std::string& machine) {
     return job_backoff_.failed_on(job, machine);
   };
-  PlacementPass pass({context_, replica_, owned_partitions_, changes_, workers_, capacities_, quota_usage_,
-                      evicted_tasks_, has_failed_on},
+  PlacementPass pass({context_, replica_, owned_partitions_, changes_, workers_, capacities_,
+                      quota_usage_, evicted_tasks_, has_failed_on},
                      eviction_budget_, schedulable_workers());
   for (const WaitingShard& shard : pending) {
     if (shard.job->spec.shape == model::Shape::kGang)
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -31,13 +31,15 @@
       renewal_permit_(context, cancellations),
       heartbeat_receiver_(context, replica, workers_, failure_detector_,
                           [this] { request_placement(); }),
-      reconciler_({context, replica, owned_partitions_, changes_, workers_, evicted_tasks_, job_backoff_},
-                  [this](const std::string& team, agent::Worker& worker) {
-                    return exceeds_quota(team, worker);
-                  }),
-      heartbeat_endpoint_(
-          {context, replica, owned_partitions_, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
-      command_sender_({context, replica, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
+      reconciler_(
+          {context, replica, owned_partitions_, changes_, workers_, evicted_tasks_, job_backoff_},
+          [this](const std::string& team, agent::Worker& worker) {
+            return exceeds_quota(team, worker);
+          }),
+      heartbeat_endpoint_({context, replica, owned_partitions_, workers_, heartbeat_receiver_,
+                           reconciler_, renewal_permit_}),
+      command_sender_(
+          {context, replica, workers_, heartbeat_receiver_, reconciler_, renewal_permit_}),
       routed_shards_(context, replica, owned_partitions_),
       quota_transfers_(context, replica, committer),
       quota_usage_(context.settings, replica, quota_transfers_),
@@ -49,7 +51,7 @@
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
   owned_partitions_.acquire(partition);
   context_.info("partition", "partition {} taken, token {}", partition,
-            model::number(lease.fencing_token));
+                model::number(lease.fencing_token));
   remove_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
     replica_.changes.touched_machines.insert(page.names.begin(), page.names.end());
@@ -134,7 +136,8 @@
   routed_shards_.apply(update);
   if (update.full) workers_.clear_draining();
   workers_.drain(update.drain);
-  requested_transfers_.insert(requested_transfers_.end(), update.transfers.begin(), update.transfers.end());
+  requested_transfers_.insert(requested_transfers_.end(), update.transfers.begin(),
+                              update.transfers.end());
   for (const wire::TaskMove& move : update.moves) evict(move);
   placement_requested_ = true;
 }
@@ -154,12 +157,14 @@
 // be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
   quota_usage_.invalidate_shares();
-  quota_transfers_.retry_transfers(
-      [this](int partition, model::Revision lease) { return owned_partitions_.owns_under(partition, lease); });
+  quota_transfers_.retry_transfers([this](int partition, model::Revision lease) {
+    return owned_partitions_.owns_under(partition, lease);
+  });
   for (const auto& request : std::exchange(requested_transfers_, {})) {
     if (!owns(request.from)) continue;
     for (auto& [name, worker] : workers_) capacities_.capacity(worker);
-    const model::QuotaShare share = quota::quota_share(context_.settings, replica_, request.team, request.from);
+    const model::QuotaShare share =
+        quota::quota_share(context_.settings, replica_, request.team, request.from);
     quota_transfers_.start(request, quota_usage_.unused(share, request.team, request.from));
   }
 }
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -61,12 +61,12 @@
     workers_.record_address(machine, address);
   }
 
-  void update_ownership();                 // takes leases up and gives them up
+  void update_ownership();     // takes leases up and gives them up
   void check_timeouts();       // what only time changes: probes, silence
   void apply_store_changes();  // that came with the batch
   // Passes on shares of limits as the leader asked, as far as they are not in use.
   void transfer_quotas();
-  void run_placement_pass();                       // at most once in a while, if there is reason to
+  void run_placement_pass();                  // at most once in a while, if there is reason to
   void flush_changes() { changes_.flush(); }  // changes of state, reports' results first
   void send_urgent_commands() { command_sender_.send_urgent(); }  // as far as they are urgent
   void request_placement() { placement_requested_ = true; }
@@ -80,7 +80,9 @@
   std::string machine_summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_partitions_.owns(partition); }
   bool suspects_own_isolation() const { return failure_detector_.suspects_itself(); }
-  std::vector<std::string> unreachable_machines() const { return failure_detector_.silent_machines(); }
+  std::vector<std::string> unreachable_machines() const {
+    return failure_detector_.silent_machines();
+  }
   // Zones that this controller cannot reach.
   std::vector<std::string> unreachable_zones() const {
     return failure_detector_.unreachable_zones();
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -79,9 +79,9 @@
 
   auto first_without_image = options.end();
   if (prefers_preemption_to_image_fetch(job.spec))
-    first_without_image = std::find_if(options.begin(), options.end(), [&](const MachineOption& option) {
-      return !option.capacity->has_image(job.image);
-    });
+    first_without_image = std::find_if(
+        options.begin(), options.end(),
+        [&](const MachineOption& option) { return !option.capacity->has_image(job.image); });
   assign_tasks({options.begin(), first_without_image}, demand, tasks);
   if (demand.tasks > 0 && first_without_image != options.end()) {
     demand.tasks -= preempt(job, demand.tasks, demand.zones, true);
@@ -103,7 +103,8 @@
     const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == TaskChange::Kind::kLost && !shard_changes->in_flight()) indexes.push_back(i);
+      if (change->kind == TaskChange::Kind::kLost && !shard_changes->in_flight())
+        indexes.push_back(i);
     } else if (env_.replica.waits(task) &&
                (task.machine.empty() || env_.replica.lists_cover(shard))) {
       indexes.push_back(i);
@@ -124,13 +125,15 @@
 
 // Counts the shard's tasks where they are and where they were decided to go. False if the zone of
 // one is not known.
-bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard, ZoneLimits& zones) const {
+bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard,
+                                        ZoneLimits& zones) const {
   const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, shard});
   // What has ended on a machine is there no more, though that is not written yet.
   auto has_ended = [&](uint32_t index) {
     if (shard_changes == nullptr) return false;
     auto change = shard_changes->waiting().find(index);
-    return change != shard_changes->waiting().end() && change->second.kind == TaskChange::Kind::kLost;
+    return change != shard_changes->waiting().end() &&
+           change->second.kind == TaskChange::Kind::kLost;
   };
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
@@ -144,12 +147,13 @@
   if (shard_changes == nullptr) return true;
   for (const auto* changes : {&shard_changes->waiting(), &shard_changes->sent()})
     for (const auto& [i, change] : *changes)
-      if (change.kind == TaskChange::Kind::kPlaced) count_task_on(change.machine.name, job.spec, zones);
+      if (change.kind == TaskChange::Kind::kPlaced)
+        count_task_on(change.machine.name, job.spec, zones);
   return true;
 }
 
 void PlacementPass::count_task_on(const std::string& machine, const model::JobSpec& spec,
-                             ZoneLimits& zones) const {
+                                  ZoneLimits& zones) const {
   const model::Machine* record = env_.replica.machine(machine);
   if (record == nullptr) return;
   zones.add(record->zone);
@@ -166,7 +170,7 @@
 }
 
 std::vector<MachineOption> PlacementPass::machine_options(const model::Job& job,
-                                                      const ZoneLimits& zones) {
+                                                          const ZoneLimits& zones) {
   std::vector<MachineOption> options;
   for (size_t i = 0; i < machines_.size(); ++i) {
     const MachineCapacity& capacity = *machines_[i];
@@ -183,7 +187,7 @@
 
 // Plans places on the machines, in their order, and decides them.
 void PlacementPass::assign_tasks(std::span<const MachineOption> options, Demand& demand,
-                           ShardTasks& tasks) {
+                                 ShardTasks& tasks) {
   const model::Job& job = *tasks.job;
   const model::TaskShard& shard = job.shards[tasks.shard];
   for (const auto& assignment : placement::assign_in_order(options, demand)) {
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -73,14 +73,15 @@
 
   std::vector<uint32_t> tasks_to_place(const placement::WaitingShard& pending) const;
   std::optional<placement::ZoneLimits> zone_limits(const model::Job& job) const;
-  bool count_tasks_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
+  bool count_tasks_by_zone(const model::Job& job, uint32_t shard,
+                           placement::ZoneLimits& zones) const;
   void count_task_on(const std::string& machine, const model::JobSpec& spec,
-                placement::ZoneLimits& zones) const;
+                     placement::ZoneLimits& zones) const;
   uint32_t free_slots(const model::JobSpec& spec, size_t machine);
   std::vector<placement::MachineOption> machine_options(const model::Job& job,
-                                                    const placement::ZoneLimits& zones);
+                                                        const placement::ZoneLimits& zones);
   void assign_tasks(std::span<const placement::MachineOption> options, placement::Demand& demand,
-              ShardTasks& tasks);
+                    ShardTasks& tasks);
   uint32_t preempt(const model::Job& job, uint32_t tasks, const placement::ZoneLimits& zones,
                    bool only_with_image);
   std::vector<placement::PreemptibleTask> preemptible_tasks(
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -34,7 +34,8 @@
     const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
-      if (change->kind != TaskChange::Kind::kLost || shard_changes->in_flight()) return std::nullopt;
+      if (change->kind != TaskChange::Kind::kLost || shard_changes->in_flight())
+        return std::nullopt;
     } else if (!env_.replica.waits(task) ||
                (!task.machine.empty() && !env_.replica.lists_cover(shard))) {
       return std::nullopt;
@@ -81,8 +82,8 @@
   const auto best_zone = placement::most_gang_room(job.spec, machines_, feasibility_);
   if (!best_zone) return;
   const auto& context = env_.context;
-  const bool has_waited_long =
-      context.now.wall - job.submitted > kReserveAfterHeartbeats * context.settings.platform.report_s;
+  const bool has_waited_long = context.now.wall - job.submitted >
+                               kReserveAfterHeartbeats * context.settings.platform.report_s;
   const bool is_sufficient = best_zone->tasks >= job.spec.tasks;
   if (!is_sufficient && !has_waited_long) return;
   const uint32_t missing = job.spec.tasks - reserve_free_slots(job.spec, best_zone->zone);
--- a/src/rooksill/partition/quota_usage.h
+++ b/src/rooksill/partition/quota_usage.h
@@ -1,4 +1,4 @@
-// What teams use of their quotas in the partitions that this controller owns.
+// Quota usage of the teams in the partitions that this controller owns.
 #pragma once
 
 #include <compare>
@@ -18,37 +18,41 @@
 
 namespace rooksill::partition {
 
-// Sums what the machines of a partition hold for each team, decided placements included, and
-// compares it with the team's share of its quota there. A team that was asked about in a partition
-// is reported to the leader from then on, if only with nothing in use.
+// Sums the resources that each team's tasks use on the machines of a partition, including placements
+// that are not yet written to the store, and compares the sum with the team's quota share in the
+// partition. Once a team has been queried for a partition, its usage there is reported to the
+// leader, even when it is zero.
 class QuotaUsage {
  public:
   QuotaUsage(const Settings& settings, const store::Replica& replica,
              const quota::QuotaTransfers& transfers)
       : settings_(settings), replica_(replica), quota_transfers_(transfers) {}
 
-  // Counts what the tasks on a machine use, and takes it back. A machine's use has to be taken back
-  // before its capacity is computed anew.
+  // Adds the usage of the tasks on a machine.
   void add(const placement::MachineCapacity& machine);
+  // Subtracts the usage of the tasks on a machine. Must be called before the machine's capacity is
+  // recomputed.
   void subtract(const placement::MachineCapacity& machine);
 
-  // What the team may use in the partition, less what is on its way to another one. Infinite
-  // without a quota.
+  // Returns the team's quota share in the partition, minus the amount of an outgoing transfer.
+  // Infinite if the team's quota is unlimited.
   const model::QuotaShare& share(const std::string& team, int partition);
-  // Shares are computed once and kept until this is called: at the start of each pass.
+  // Clears the cached shares. A share is computed once and cached until this call, which is made at
+  // the start of each pass.
   void invalidate_shares() { shares_.clear(); }
 
-  // The part of a share that is not in use; below zero if more than the share is.
+  // Returns the unused part of the given share; negative if the usage exceeds the share.
   model::QuotaShare unused(const model::QuotaShare& share, const std::string& team, int partition);
-  // How many more tasks of the job the team's share takes. A whole number, infinite without a
-  // quota.
+  // Returns how many more tasks of the job fit in the team's share: a whole number, or infinity if
+  // the quota is unlimited.
   double remaining_tasks(const model::JobSpec& spec, int partition);
-  // Whether one more task of the job is within the team's share.
+  // Returns whether one more task of the job fits in the team's share.
   bool allows_task(const model::JobSpec& spec, int partition);
-  // Whether what the team has in the partition is more than its share already.
+  // Returns whether the team's usage in the partition already exceeds its share.
   bool is_exceeded(const std::string& team, int partition);
 
-  // For the leader: what teams with a quota use in the partitions owned.
+  // Returns, for the leader, the usage of teams with a limited quota in the partitions for which
+  // `owns` returns true. The amount of an outgoing transfer counts as used.
   std::vector<wire::QuotaUse> owned_usage(const std::function<bool(int partition)>& owns) const;
 
  private:
@@ -61,8 +65,8 @@
   const Settings& settings_;
   const store::Replica& replica_;
   const quota::QuotaTransfers& quota_transfers_;
-  std::map<Key, model::Resources> used_;  // memory is summed as well, and has no quota
-  std::map<Key, model::QuotaShare> shares_;
+  std::map<Key, model::Resources> used_;  // memory is summed as well but has no quota
+  std::map<Key, model::QuotaShare> shares_;  // cache, see invalidate_shares()
 };
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/routed_shards.cc
+++ b/src/rooksill/partition/routed_shards.cc
@@ -5,7 +5,7 @@
 namespace rooksill::partition {
 
 namespace {
-// How often, in a report interval, shards are routed anew while there is no leader.
+// How many times per heartbeat interval shards are rerouted while there is no leader.
 constexpr double kFallbackRoutingsPerHeartbeat = 6;
 }  // namespace
 
--- a/src/rooksill/partition/routed_shards.h
+++ b/src/rooksill/partition/routed_shards.h
@@ -1,4 +1,4 @@
-// The shards that are routed to this controller.
+// The shards routed to this controller.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +14,9 @@
 
 namespace rooksill::partition {
 
-// Shards whose unplaced tasks this controller has to place in its partitions, in the order of their
-// ids. The leader routes them; without one, controllers share a rule.
+// The set of shards, ordered by id, whose unplaced tasks this controller has to place in its
+// partitions. The leader assigns them. While there is no leader, each controller computes the
+// assignment by the same deterministic rule (routing::fallback_partition).
 class RoutedShards {
  public:
   using Shards = std::set<model::ShardId>;
@@ -24,21 +25,24 @@
                const changes::OwnedPartitions& owned)
       : context_(context), replica_(replica), owned_(owned) {}
 
-  // Whether a message of the leader counts: not if one of a later term has come before.
+  // Returns false if the update is stale: an update of a later leader term was already applied.
   bool is_current(const wire::RoutingUpdate& update) const { return update.term >= term_; }
-  // Adds the leader's routes; a full update replaces what was routed before. It has to be current.
+  // Adds the routes of a leader's update; a full update replaces all earlier routes. Requires
+  // is_current(update).
   void apply(const wire::RoutingUpdate& update);
+  // Adds a single shard.
   void add(const model::ShardId& shard) { shards_.insert(shard); }
 
-  // While nobody leads: adds the waiting shards whose turn it is in a partition owned here, and
-  // removes the others. Does so a few times in a report interval; false if it was not due.
+  // Routes pending shards while there is no leader: adds the shards that the fallback rule currently
+  // assigns to an owned partition and removes the others. Runs at most a few times per heartbeat
+  // interval; returns false if it was not due.
   bool route_without_leader();
 
   bool empty() const { return shards_.empty(); }
   size_t size() const { return shards_.size(); }
   Shards::const_iterator begin() const { return shards_.begin(); }
   Shards::const_iterator end() const { return shards_.end(); }
-  // Returns the position after the shard that is removed.
+  // Removes a shard and returns the position after it.
   Shards::const_iterator erase(Shards::const_iterator position) { return shards_.erase(position); }
 
  private:
@@ -48,7 +52,7 @@
   const store::Replica& replica_;
   const changes::OwnedPartitions& owned_;
   Shards shards_;
-  uint64_t term_ = 0;  // of the last update
+  uint64_t term_ = 0;  // leader term of the last applied update
   runtime::IntervalTimer fallback_timer_;
 };
 
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -16,7 +16,8 @@
 
 // Tasks that have room in a partition and are beyond its share.
 double tasks_beyond_share(const PartitionFit& fit, double requested_tasks) {
-  return std::min(fit.within_capacity, requested_tasks) - std::min(fit.within_share, requested_tasks);
+  return std::min(fit.within_capacity, requested_tasks) -
+         std::min(fit.within_share, requested_tasks);
 }
 
 model::QuotaShare componentwise_min(const model::QuotaShare& a, const model::QuotaShare& b) {
@@ -63,8 +64,9 @@
     const int partition = static_cast<int>(i);
     const double tasks = tasks_beyond_share(fits[i], requested_tasks);
     if (tasks < 1) continue;
-    const bool is_better = !best || tasks > best_tasks ||
-                        (tasks == best_tasks && remaining(team, partition).cpus > remaining(team, *best).cpus);
+    const bool is_better =
+        !best || tasks > best_tasks ||
+        (tasks == best_tasks && remaining(team, partition).cpus > remaining(team, *best).cpus);
     if (!is_better) continue;
     best = partition;
     best_tasks = tasks;
@@ -73,7 +75,7 @@
 }
 
 void QuotaBalancer::record_shortage(const model::JobSpec& spec, double requested_tasks,
-                                  const std::vector<PartitionFit>& fits) {
+                                    const std::vector<PartitionFit>& fits) {
   if (shortages_.count(spec.team) != 0) return;
   const std::optional<int> receiver = best_receiver(spec.team, requested_tasks, fits);
   if (!receiver) return;
@@ -81,12 +83,13 @@
   shortage.receiver = *receiver;
   for (size_t i = 0; i < fits.size(); ++i) {
     const double usable_tasks = std::min(fits[i].within_share, requested_tasks);
-    shortage.spare.push_back(
-        saturating_subtract(remaining(spec.team, static_cast<int>(i)), quota_of_tasks(spec, usable_tasks)));
+    shortage.spare.push_back(saturating_subtract(remaining(spec.team, static_cast<int>(i)),
+                                                 quota_of_tasks(spec, usable_tasks)));
   }
   const auto receiver_index = static_cast<size_t>(*receiver);
   const double extra_tasks = tasks_beyond_share(fits[receiver_index], requested_tasks);
-  shortage.missing = saturating_subtract(quota_of_tasks(spec, extra_tasks), shortage.spare[receiver_index]);
+  shortage.missing =
+      saturating_subtract(quota_of_tasks(spec, extra_tasks), shortage.spare[receiver_index]);
   shortages_.emplace(spec.team, std::move(shortage));
 }
 
@@ -98,16 +101,16 @@
     if (context_.now.steady < next_transfer_at_s || !wire::valid_team_name(team)) continue;
     auto transfer = choose_transfer(team, shortage, can_be_source);
     if (!transfer) continue;
-    next_transfer_at_s = context_.now.steady + kTransferIntervalHeartbeats * context_.settings.platform.report_s;
+    next_transfer_at_s =
+        context_.now.steady + kTransferIntervalHeartbeats * context_.settings.platform.report_s;
     transfers.push_back(std::move(*transfer));
   }
   return transfers;
 }
 
 // From the partition that can give most of what is missing; nothing if none can.
-std::optional<wire::QuotaTransfer> QuotaBalancer::choose_transfer(const std::string& team,
-                                                               const Shortage& shortage,
-                                                               const std::vector<bool>& can_be_source) {
+std::optional<wire::QuotaTransfer> QuotaBalancer::choose_transfer(
+    const std::string& team, const Shortage& shortage, const std::vector<bool>& can_be_source) {
   std::optional<size_t> source;
   model::QuotaShare amount;
   for (size_t i = 0; i < shortage.spare.size(); ++i) {
@@ -120,9 +123,9 @@
     amount = available;
   }
   if (!source) return std::nullopt;
-  return wire::QuotaTransfer{team,        static_cast<int>(*source),
-                             shortage.receiver, amount.cpus,
-                             amount.gpus, division_revision(replica_, team)};
+  return wire::QuotaTransfer{
+      team,        static_cast<int>(*source),        shortage.receiver, amount.cpus,
+      amount.gpus, division_revision(replica_, team)};
 }
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_balancer.h
+++ b/src/rooksill/quota/quota_balancer.h
@@ -39,7 +39,7 @@
   // Fewer of the wanted tasks are within any partition's share than machines have room for.
   // `fits`: by partition.
   void record_shortage(const model::JobSpec& spec, double requested_tasks,
-                     const std::vector<PartitionFit>& fits);
+                       const std::vector<PartitionFit>& fits);
   // Transfers to ask for now: at most one for each team that lacked quota since the last call, and
   // with a pause between two of one team. `can_give` says by partition whose owner can be asked.
   std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& can_be_source);
@@ -47,22 +47,24 @@
  private:
   // A team's quota lies where it is of no use, and is missing elsewhere.
   struct Shortage {
-    int receiver = 0;                            // the partition that could use more
+    int receiver = 0;                      // the partition that could use more
     model::QuotaShare missing;             // what it could use beyond its share
     std::vector<model::QuotaShare> spare;  // by partition: left, and of no use to this work there
   };
   model::QuotaShare& remaining(const std::string& team, int partition);
   std::optional<int> best_receiver(const std::string& team, double requested_tasks,
                                    const std::vector<PartitionFit>& fits);
-  std::optional<wire::QuotaTransfer> choose_transfer(const std::string& team, const Shortage& shortage,
-                                                  const std::vector<bool>& can_be_source);
+  std::optional<wire::QuotaTransfer> choose_transfer(const std::string& team,
+                                                     const Shortage& shortage,
+                                                     const std::vector<bool>& can_be_source);
 
   runtime::Context& context_;
   const store::Replica& replica_;
-  std::map<TeamPartition, model::QuotaShare> remaining_;  // since the last refresh; made when asked for
-  std::map<TeamPartition, model::QuotaShare> used_;  // as owners last reported
-  std::map<std::string, Shortage> shortages_;        // by team; the first one noted
-  std::map<std::string, double> next_transfer_at_s_;      // by team; seconds of the steady clock
+  std::map<TeamPartition, model::QuotaShare>
+      remaining_;                                     // since the last refresh; made when asked for
+  std::map<TeamPartition, model::QuotaShare> used_;   // as owners last reported
+  std::map<std::string, Shortage> shortages_;         // by team; the first one noted
+  std::map<std::string, double> next_transfer_at_s_;  // by team; seconds of the steady clock
 };
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -33,7 +33,8 @@
 }
 
 // The share before the first transfer.
-double initial_share(double quota, double machine_size, const TeamPartition& share_key, int partitions) {
+double initial_share(double quota, double machine_size, const TeamPartition& share_key,
+                     int partitions) {
   if (!is_small(quota, machine_size, partitions)) return quota / partitions;
   return home_partition(share_key.team, partitions) == share_key.partition ? quota : 0;
 }
@@ -89,7 +90,8 @@
   return {tasks * spec.request.cpus, tasks * spec.request.gpus};
 }
 
-model::QuotaShare saturating_subtract(const model::QuotaShare& share, const model::QuotaShare& amount) {
+model::QuotaShare saturating_subtract(const model::QuotaShare& share,
+                                      const model::QuotaShare& amount) {
   return {std::max(0.0, share.cpus - amount.cpus), std::max(0.0, share.gpus - amount.gpus)};
 }
 
--- a/src/rooksill/quota/quota_shares.h
+++ b/src/rooksill/quota/quota_shares.h
@@ -39,6 +39,7 @@
 // What so many of a job's tasks take of a quota.
 model::QuotaShare quota_of_tasks(const model::JobSpec& spec, double tasks);
 // What is left of a share without that amount; never below 0.
-model::QuotaShare saturating_subtract(const model::QuotaShare& share, const model::QuotaShare& amount);
+model::QuotaShare saturating_subtract(const model::QuotaShare& share,
+                                      const model::QuotaShare& amount);
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -67,7 +67,8 @@
 void QuotaTransfers::send(const std::string& team, Transfer& transfer) {
   const std::string key = wire::quota_key(team);
   const bool sent = committer_.commit(
-      {{key, transfer.division_revision}, {wire::lease_key(transfer.from), transfer.lease_revision}},
+      {{key, transfer.division_revision},
+       {wire::lease_key(transfer.from), transfer.lease_revision}},
       {{key, wire::encode_quota_division(division_after(team, transfer)), 0}},
       [this, team](const store::TransactionResult& result) { on_result(team, result); });
   transfer.progress = sent ? Progress::kSent : Progress::kReadyToSend;
@@ -113,8 +114,9 @@
     const auto& [team, transfer] = *it;
     // With either precondition changed, no copy of the transaction can be executed any more.
     const bool is_obsolete = !owns(transfer.from, transfer.lease_revision) ||
-                      division_revision(replica_, team) != transfer.division_revision;
-    it = is_obsolete && transfer.progress == Progress::kReadyToSend ? transfers_.erase(it) : std::next(it);
+                             division_revision(replica_, team) != transfer.division_revision;
+    it = is_obsolete && transfer.progress == Progress::kReadyToSend ? transfers_.erase(it)
+                                                                    : std::next(it);
   }
   for (auto& [team, transfer] : transfers_)
     if (transfer.progress == Progress::kReadyToSend) send(team, transfer);
