--- a/src/rooksill/partition/capacity_tracker.h
+++ b/src/rooksill/partition/capacity_tracker.h
@@ -23,8 +23,8 @@
   const placement::MachineCapacity& capacity(agent::Worker& worker);
   // Recomputes the capacity of the worker's machine and updates the quota usage accordingly.
   void recompute(agent::Worker& worker);
-  // Subtracts what the tasks on the worker's machine use from the quota usage. Must be called before
-  // the worker is removed.
+  // Subtracts what the tasks on the worker's machine use from the quota usage. Must be called
+  // before the worker is removed.
   void remove_usage(agent::Worker& worker);
 
  private:
--- a/src/rooksill/partition/machine_status.h
+++ b/src/rooksill/partition/machine_status.h
@@ -39,9 +39,9 @@
   static constexpr size_t kTaskPhases = 5;  // values of wire::TaskPhase
 
   size_t total_machines_ = 0;
-  size_t reporting_machines_ = 0;    // have sent at least one heartbeat to this owner
+  size_t reporting_machines_ = 0;  // have sent at least one heartbeat to this owner
   size_t schedulable_ = 0;
-  size_t commands_in_flight_ = 0;    // machines with an unacknowledged command
+  size_t commands_in_flight_ = 0;  // machines with an unacknowledged command
   size_t placed_tasks_ = 0;
   std::array<size_t, kTaskPhases> tasks_by_phase_{};  // as the workers reported them
   // Totals over the schedulable machines.
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -12,8 +12,8 @@
 using placement::WaitingShard;
 
 namespace {
-constexpr double kPassIntervalSeconds = 0.025;  // minimum, for a pass with few pending shards
-// The interval grows by kPassIntervalSeconds for every so many pending shards.
+constexpr double kPassIntervalS = 0.025;  // minimum, for a pass with few pending shards
+// The interval grows by kPassIntervalS for every so many pending shards.
 constexpr double kShardsPerIntervalIncrease = 200;
 }  // namespace
 
@@ -42,8 +42,8 @@
   return quota_usage_.is_exceeded(team, worker.partition);
 }
 
-// Returns the routed shards that may have tasks to place. Removes shards of jobs that have ended and
-// shards that no longer exist.
+// Returns the routed shards that may have tasks to place. Removes shards of jobs that have ended
+// and shards that no longer exist.
 std::vector<WaitingShard> PartitionOwner::pending_shards() {
   std::vector<WaitingShard> pending;
   for (auto it = routed_shards_.begin(); it != routed_shards_.end();) {
@@ -74,7 +74,7 @@
   if (pending.empty()) return;
   const double interval_factor =
       1 + static_cast<double>(pending.size()) / kShardsPerIntervalIncrease;
-  next_pass_at_s_ = context_.now.steady + kPassIntervalSeconds * interval_factor;
+  next_pass_at_s_ = context_.now.steady + kPassIntervalS * interval_factor;
   placement::sort_by_urgency(pending);
   quota_usage_.invalidate_shares();
   eviction_budget_.refill(client_.writes_per_s(), context_.now.steady);
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -50,7 +50,7 @@
 void PartitionOwner::acquire_partition(int partition) {
   const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
   owned_partitions_.acquire(partition);
-  context_.info("partition", "partition {} taken, token {}", partition,
+  context_.info("partition", "acquired partition {}, fencing token {}", partition,
                 model::number(lease.fencing_token));
   remove_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
@@ -67,19 +67,19 @@
   for (int partition = 0; partition < static_cast<int>(replica_.leases.size()); ++partition) {
     const model::PartitionLease& lease = replica_.leases[static_cast<size_t>(partition)];
     const bool holds_lease = lease.owner == label && lease.incarnation == context_.incarnation;
-    // Whatever the former owner wrote has a lower revision than the lease; it must be known
-    // here before a worker's tasks are judged.
+    // Everything that the previous owner wrote has a lower revision than the lease. The replica
+    // must contain it before the tasks of a worker are reconciled with the store.
     if (holds_lease && !owns(partition) && replica_.synced_revision >= lease.revision) {
       acquire_partition(partition);
     } else if (owned_partitions_.acquired(partition) && !owns(partition)) {
-      context_.info("partition", "partition {} given up, now with {}", partition, lease.owner);
+      context_.info("partition", "released partition {}, now owned by {}", partition, lease.owner);
       owned_partitions_.release(partition);
       remove_workers(partition);
     }
   }
 }
 
-// What a batch changed in the store concerns the machines that it names, and no others.
+// A batch of store changes affects only the machines in `touched_machines`.
 void PartitionOwner::apply_store_changes() {
   for (const auto& name : replica_.changes.touched_machines) {
     const model::Machine* machine = replica_.machine(name);
@@ -107,7 +107,7 @@
   if (!routed_shards_.empty()) placement_requested_ = true;
 }
 
-// ---- changes of state ----------------------------------------------------------------------
+// ---- task state changes ----------------------------------------------------------------------
 
 void PartitionOwner::on_change_added(const model::TaskRef& task, const TaskChange& change) {
   agent::Worker* worker = workers_.find(change.machine.name);
@@ -142,7 +142,7 @@
   placement_requested_ = true;
 }
 
-// Stops a task that is to run elsewhere, unless it left its machine in the meantime.
+// Stops a task that is to run elsewhere, unless that attempt has left its machine in the meantime.
 void PartitionOwner::evict(const wire::TaskMove& move) {
   const model::TaskRef task{move.job, move.index};
   const model::TaskState* state = replica_.task(task);
@@ -153,8 +153,6 @@
   workers_.mark_changed(*worker);
 }
 
-// Called once all machines of the partitions held are known here: what a share's owner uses has to
-// be complete before a part of the share is passed on.
 void PartitionOwner::transfer_quotas() {
   quota_usage_.invalidate_shares();
   quota_transfers_.retry_transfers([this](int partition, model::Revision lease) {
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -1,5 +1,4 @@
-// The owner of partitions: answers its workers' reports, places tasks inside the partitions, stops
-// them.
+// The partition owner: handles the heartbeats of its workers and places and stops tasks on them.
 #pragma once
 
 #include <cstdint>
@@ -43,51 +42,85 @@
 
 namespace rooksill::partition {
 
+// Runs in every controller and is responsible for the partitions whose leases this controller
+// holds. Combines the worker table, failure detection, reconciliation of workers with the store,
+// placement and quota transfers. The controller calls its steps in a fixed order in each iteration
+// of its loop. Task state changes are queued and written to the store asynchronously.
 class PartitionOwner : private changes::TaskChangeListener {
  public:
+  // All arguments must outlive the owner.
   PartitionOwner(runtime::Context& context, store::Replica& replica, store::Client& client,
                  store::Committer& committer, const membership::Cancellations& cancellations);
 
-  // A worker's report; answers it.
+  // Handles a worker's heartbeat and sends the reply. `request` identifies the HTTP request and
+  // `body` is its body.
   void handle_heartbeat(uint64_t request, const std::string& body) {
     heartbeat_endpoint_.handle(request, body);
   }
-  // Takes in what the leader routes here, and what it wants moved, drained and transferred.
+  // Applies a leader's update: shards routed here, tasks to move, machines to drain and quota
+  // transfers. Ignores an update of an earlier leader term.
   void apply_routing_update(const wire::RoutingUpdate& update);
+  // Adds a shard to those that this owner has to place.
   void add_routed_shard(const model::ShardId& shard) { routed_shards_.add(shard); }
-  // While nobody leads: places what waits, by a rule that all controllers share.
+  // Routes pending shards by the fallback rule that all controllers share. Called while there is no
+  // leader.
   void route_without_leader();
+  // Records the address under which a machine's worker can be reached.
   void record_address(const std::string& machine, const std::string& address) {
     workers_.record_address(machine, address);
   }
 
-  void update_ownership();     // takes leases up and gives them up
-  void check_timeouts();       // what only time changes: probes, silence
-  void apply_store_changes();  // that came with the batch
-  // Passes on shares of limits as the leader asked, as far as they are not in use.
+  // Acquires partitions whose lease now names this controller and releases those whose lease was
+  // lost.
+  void update_ownership();
+  // Performs the checks that depend on time alone: sends probes, detects unreachable workers, drops
+  // evictions that are complete and requests a placement pass while shards are routed here.
+  void check_timeouts();
+  // Adds, removes and marks the workers of machines that the last batch of store changes affected.
+  void apply_store_changes();
+  // Retries quota transfers in progress and starts those that the leader requested, limited to the
+  // unused part of each share. Must be called only when all machines of the owned partitions are in
+  // the worker table: otherwise the usage is incomplete and too much of a share is transferred.
   void transfer_quotas();
-  void run_placement_pass();                  // at most once in a while, if there is reason to
-  void flush_changes() { changes_.flush(); }  // changes of state, reports' results first
-  void send_urgent_commands() { command_sender_.send_urgent(); }  // as far as they are urgent
+  // Runs a placement pass if one was requested and the minimum interval since the last pass has
+  // elapsed.
+  void run_placement_pass();
+  // Writes queued task state changes to the store, as far as its rate limits allow.
+  void flush_changes() { changes_.flush(); }
+  // Sends urgent commands directly to workers; other commands go out with heartbeat replies.
+  void send_urgent_commands() { command_sender_.send_urgent(); }
+  // Requests a placement pass.
   void request_placement() { placement_requested_ = true; }
 
-  // What changed since the last call, and some others in turn; everything if `all`.
+  // Returns the statuses that changed since the last call, plus a rotating subset of the unchanged
+  // ones to make up for lost messages. Returns all statuses if `all` is set.
   std::vector<wire::MachineStatus> collect_status_updates(bool all);
+  // Returns the worker addresses learned since the last call, plus a rotating subset of the others.
   std::vector<wire::Address> collect_address_updates() { return workers_.take_addresses(); }
-  // Of teams with a limit, in the partitions held.
+  // Returns the usage of teams with a limited quota in the owned partitions.
   std::vector<wire::QuotaUse> quota_usage() const;
+  // Returns the number of shards with changes that are still to be sent to the store.
   size_t pending_shard_writes() const { return changes_.size(); }
-  std::string machine_summary();  // of the machines held, for the log
+  // Returns a one-line summary of the owned machines for the log.
+  std::string machine_summary();
+  // Returns whether this controller owns the partition under its current lease.
   bool owns(int partition) const { return owned_partitions_.owns(partition); }
+  // Returns whether nearly all workers are unreachable, so that this controller rather than its
+  // workers is probably cut off from the network.
   bool suspects_own_isolation() const { return failure_detector_.suspects_itself(); }
+  // Returns the machines that have been unreachable long enough to be given up; at most as many as
+  // fit in one store value.
   std::vector<std::string> unreachable_machines() const {
     return failure_detector_.silent_machines();
   }
-  // Zones that this controller cannot reach.
+  // Returns the zones that this controller cannot reach.
   std::vector<std::string> unreachable_zones() const {
     return failure_detector_.unreachable_zones();
   }
+  // Returns whether placement of the job's tasks is delayed after failures on several machines.
   bool is_backing_off(const std::string& job) const { return job_backoff_.backing_off(job); }
+  // Returns the last worker that sent a heartbeat without belonging to any partition, and clears
+  // it.
   std::optional<wire::UnassignedMachine> pop_unassigned_machine() {
     return heartbeat_endpoint_.take_unassigned_machine();
   }
@@ -95,7 +128,8 @@
  private:
   void acquire_partition(int partition);
   void remove_workers(int partition);
-  // Of changes::TaskChangeListener.
+
+  // Implement changes::TaskChangeListener.
   void on_change_added(const model::TaskRef& task, const changes::TaskChange& change) override;
   void on_change_removed(const model::TaskRef& task, const changes::TaskChange& change) override;
   bool terminating(const std::string& machine) const override;
@@ -127,8 +161,8 @@
   QuotaUsage quota_usage_;
   CapacityTracker capacities_;
   placement::EvictionBudget eviction_budget_;
-  std::vector<wire::QuotaTransfer> requested_transfers_;
-  double next_pass_at_s_ = 0;
+  std::vector<wire::QuotaTransfer> requested_transfers_;  // by the leader, not started yet
+  double next_pass_at_s_ = 0;                             // steady clock; no placement pass before
   bool placement_requested_ = false;
 };
 
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -30,8 +30,9 @@
   return capacities;
 }
 
-// Replicas that users wait for: where lower work makes room they start sooner than where their
-// image has to be fetched.
+// Production service replicas are needed by users immediately: they start sooner on a machine that
+// has their image, after preempting lower-priority work, than where the image must be fetched
+// first.
 bool prefers_preemption_to_image_fetch(const model::JobSpec& spec) {
   return spec.shape == model::Shape::kService && spec.priority == model::Priority::kProd;
 }
@@ -55,7 +56,7 @@
 
 void PlacementPass::place_shard(const WaitingShard& pending) {
   const model::Job& job = *pending.job;
-  // Looked at before anything else: of a long queue nearly all shards end here.
+  // Checked first because most shards of a long queue are rejected here.
   if (unmet_requests_.covers(job.spec)) return;
   ShardTasks tasks{&job, pending.shard, tasks_to_place(pending)};
   if (tasks.indexes.empty()) return;
@@ -63,7 +64,7 @@
   if (!zones) return;
   std::vector<MachineOption> options = machine_options(job, *zones);
   if (job.spec.one_zone && !zones->restricted()) {
-    // All of the job's tasks must come to fit in one zone.
+    // All tasks of the job must eventually fit in the chosen zone.
     zones->restrict_to(placement::roomiest_zone(options));
     std::erase_if(options, [&](const MachineOption& option) {
       return zones->left(option.capacity->zone) == 0;
@@ -92,7 +93,8 @@
   if (demand.tasks > 0) unmet_requests_.add(job.spec);
 }
 
-// Tasks of one shard are alike: all of them look for places at once.
+// Returns the indexes of the shard's unplaced tasks. Tasks of one shard have identical requests, so
+// all of them are placed together.
 std::vector<uint32_t> PlacementPass::tasks_to_place(const WaitingShard& pending) const {
   const model::TaskShard& shard = pending.job->shards[pending.shard];
   const changes::ShardChanges* shard_changes =
@@ -102,7 +104,8 @@
     const model::TaskState& task = shard.tasks[i];
     const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
-      // Ended elsewhere, and not written yet: it may get its next place with the same change.
+      // The task's attempt has ended but that is not yet written: the next placement can go into
+      // the same write.
       if (change->kind == TaskChange::Kind::kLost && !shard_changes->in_flight())
         indexes.push_back(i);
     } else if (env_.replica.waits(task) &&
@@ -113,8 +116,8 @@
   return indexes;
 }
 
-// How many more of the job's tasks each zone may have; nothing if the zone of one of them is not
-// known.
+// Returns how many more of the job's tasks each zone may have; nullopt if the zone of a placed task
+// is unknown.
 std::optional<ZoneLimits> PlacementPass::zone_limits(const model::Job& job) const {
   ZoneLimits zones(job.spec);
   if (!has_zone_constraint(job.spec)) return zones;
@@ -123,12 +126,12 @@
   return zones;
 }
 
-// Counts the shard's tasks where they are and where they were decided to go. False if the zone of
-// one is not known.
+// Counts the shard's tasks in the zones of their current machines and of placements that are not
+// yet written. Returns false if the zone of one of them is unknown.
 bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard,
                                         ZoneLimits& zones) const {
   const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, shard});
-  // What has ended on a machine is there no more, though that is not written yet.
+  // A task that has exited is no longer on its machine, even if that is not yet written.
   auto has_ended = [&](uint32_t index) {
     if (shard_changes == nullptr) return false;
     auto change = shard_changes->waiting().find(index);
@@ -138,8 +141,8 @@
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     if (tasks[i].machine.empty() || has_ended(i)) continue;
-    // A machine that is in no list here may have been added since the lists were read: other
-    // controllers' updates of shards come faster than the watch.
+    // A machine missing from the machine lists may have been added after the lists were read: other
+    // controllers' shard updates can arrive before the store's watch events.
     if (env_.replica.machine_gone(tasks[i].machine) && !env_.replica.lists_cover(job.shards[shard]))
       return false;
     count_task_on(tasks[i].machine, job.spec, zones);
@@ -160,7 +163,7 @@
   if (spec.one_zone) zones.restrict_to(record->zone);
 }
 
-// How many more of the job's tasks the machine takes, also by the team's quota.
+// Returns how many more of the job's tasks fit on the machine and in the team's quota share.
 uint32_t PlacementPass::free_slots(const model::JobSpec& spec, size_t machine) {
   const MachineCapacity& capacity = *machines_[machine];
   double count = feasibility_.free_slots(spec, capacity, reserved_[machine]);
@@ -185,7 +188,7 @@
   return options;
 }
 
-// Plans places on the machines, in their order, and decides them.
+// Assigns tasks to the machines in the order given and queues the placements as task changes.
 void PlacementPass::assign_tasks(std::span<const MachineOption> options, Demand& demand,
                                  ShardTasks& tasks) {
   const model::Job& job = *tasks.job;
@@ -197,17 +200,17 @@
       const uint64_t attempt = shard.tasks[index].attempt + 1;
       const model::TaskRef ref{job.spec.id, tasks.shard * job.tasks_per_shard + index};
       env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
-      env_.context.debug("placement", "task {} attempt {} goes to {} after {:.2f} s{}",
+      env_.context.debug("placement", "task {} attempt {} placed on {} {:.2f} s after submission{}",
                          wire::task_name(ref), attempt, worker.name,
                          env_.context.now.wall - job.submitted,
-                         worker.capacity.has_image(job.image) ? "" : ", image not there");
+                         worker.capacity.has_image(job.image) ? "" : ", image not cached");
     }
     env_.capacities.recompute(worker);
   }
 }
 
-// Evicts work of lower priority to make room for so many tasks. Returns for how many of them room
-// is on its way.
+// Evicts lower-priority tasks to free capacity for `tasks` tasks of the job. Returns for how many
+// of them capacity is being freed.
 uint32_t PlacementPass::preempt(const model::Job& job, uint32_t tasks, const ZoneLimits& zones,
                                 bool only_with_image) {
   const auto within_quota = [&](int partition) {
@@ -218,7 +221,7 @@
   for (const placement::Eviction& eviction : plan.evictions) {
     agent::Worker& worker = *workers_[eviction.machine];
     for (const model::TaskRef& ref : eviction.tasks) {
-      env_.context.debug("placement", "task {} on {} is evicted to make room for {}",
+      env_.context.debug("placement", "task {} on {} evicted to free capacity for job {}",
                          wire::task_name(ref), worker.name, job.spec.id);
       env_.context.count("tasks_stopped");
       env_.evicted_tasks.evict(ref, env_.replica.task(ref)->attempt);
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -1,4 +1,4 @@
-// One pass of placement over the machines that take tasks at present.
+// One placement pass over the machines that are currently schedulable.
 #pragma once
 
 #include <cstddef>
@@ -30,12 +30,13 @@
 
 namespace rooksill::partition {
 
-// Takes shards in the order of their urgency: plans where their tasks go and what is evicted for
-// them (package placement), and applies each plan at once, so that the next one is made on what is
-// left. What it decides becomes changes of task states; nothing is in the store when it returns.
+// Places the tasks of one shard after the other; the caller passes the shards in order of urgency.
+// Package placement plans the machines of the tasks and the evictions for them. Each plan is
+// applied immediately, so that the next one sees the capacity that remains. Decisions are queued as
+// task state changes; none of them is in the store yet when the pass returns.
 class PlacementPass {
  public:
-  // What a pass reads and changes. All of it has to outlive the pass.
+  // The state that a pass reads and changes. All of it must outlive the pass.
   struct Environment {
     runtime::Context& context;
     const store::Replica& replica;
@@ -45,30 +46,32 @@
     CapacityTracker& capacities;
     QuotaUsage& quota_usage;
     placement::EvictedTasks& evicted_tasks;
-    // Whether tasks of the job with this id have failed on the machine.
+    // Returns whether tasks of the job with this id have failed on the machine.
     std::function<bool(const std::string& job, const std::string& machine)> has_failed_on;
   };
 
-  // `workers` are those that take tasks; the budget is kept from pass to pass.
+  // `workers` are the schedulable workers, with up-to-date capacities. `budget` limits evictions
+  // across passes.
   PlacementPass(Environment environment, placement::EvictionBudget& budget,
                 std::vector<agent::Worker*> workers);
 
-  // Parts of a pass refer to others.
+  // Not copyable: members hold references to other members.
   PlacementPass(const PlacementPass&) = delete;
   PlacementPass& operator=(const PlacementPass&) = delete;
 
-  // Places as many of the shard's tasks as find room. Not for gangs.
+  // Places as many of the shard's tasks as there is capacity for. Not for gangs.
   void place_shard(const placement::WaitingShard& pending);
-  // Places all tasks of the gang or none.
+  // Places all tasks of the gang or none; in the latter case may preempt and reserve capacity for
+  // it.
   void place_gang(const placement::WaitingShard& pending);
 
  private:
-  // Tasks of a shard that look for places, in the order in which they get them.
+  // The tasks of a shard that are to be placed, in the order in which they are assigned.
   struct ShardTasks {
     const model::Job* job = nullptr;
     uint32_t shard = 0;
-    std::vector<uint32_t> indexes;  // in the shard
-    size_t placed = 0;              // of these
+    std::vector<uint32_t> indexes;  // task indexes in the shard
+    size_t placed = 0;              // how many of `indexes` are already assigned
   };
 
   std::vector<uint32_t> tasks_to_place(const placement::WaitingShard& pending) const;
@@ -94,12 +97,13 @@
 
   const Environment env_;
   const std::vector<agent::Worker*> workers_;
-  const std::vector<const placement::MachineCapacity*> machines_;  // of the workers
+  const std::vector<const placement::MachineCapacity*>
+      machines_;  // capacities, parallel to workers_
   const placement::Feasibility feasibility_;
-  const double cheapest_cpu_;  // price, an hour
+  const double cheapest_cpu_;  // price per CPU and hour
   placement::PreemptionPlanner preemption_;
   placement::UnmetRequests unmet_requests_;
-  std::vector<model::Resources> reserved_;  // by machine: free, and kept for gangs that wait
+  std::vector<model::Resources> reserved_;  // by machine: free capacity kept for pending gangs
 };
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -1,4 +1,5 @@
-// Gang jobs in a pass of placement: all tasks of an attempt are placed by one change, or none is.
+// Part of PlacementPass: gang jobs. Either all tasks of an attempt are placed, in a single change,
+// or none is.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -19,11 +20,13 @@
 using placement::ZoneLimits;
 
 namespace {
-// A gang that waits longer than so many reports keeps what comes free from work of lower rank.
+// Once a gang has been pending for so many heartbeat intervals, capacity that becomes free is
+// reserved for it, ahead of less urgent work.
 constexpr double kReserveAfterHeartbeats = 1;
 }  // namespace
 
-// The number of the next attempt, if all tasks of the one before are gone for certain.
+// Returns the number of the next attempt, or nullopt unless all tasks of the last one are certainly
+// gone.
 std::optional<uint64_t> PlacementPass::next_gang_attempt(const model::Job& job) const {
   const model::TaskShard& shard = job.shards.front();
   const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, 0});
@@ -33,7 +36,8 @@
     last_attempt = std::max(last_attempt, task.attempt);
     const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
-      // Reported gone, and not written yet: the next place may go with the same change.
+      // Reported as lost but not yet written: the next placement can go into the same write, unless
+      // that is already in flight.
       if (change->kind != TaskChange::Kind::kLost || shard_changes->in_flight())
         return std::nullopt;
     } else if (!env_.replica.waits(task) ||
@@ -44,7 +48,7 @@
   return last_attempt + 1;
 }
 
-// The whole gang, with what the team's quota still takes in each partition.
+// Returns the demand of the whole gang, limited by the team's remaining quota in each partition.
 Demand PlacementPass::gang_demand(const model::JobSpec& spec) {
   Demand demand{spec.tasks, ZoneLimits(spec), {}};
   for (const int partition : env_.owned_partitions.list())
@@ -68,16 +72,17 @@
     for (uint32_t k = 0; k < assignment.tasks; ++k)
       env_.changes.add({job.spec.id, next++},
                        TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
-    env_.context.debug("placement", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}",
-                       assignment.tasks, job.spec.id, *attempt, worker.name,
-                       env_.context.now.wall - job.submitted,
-                       worker.capacity.has_image(job.image) ? "" : ", image not there");
+    env_.context.debug(
+        "placement", "{} tasks of gang {} attempt {} placed on {} {:.2f} s after submission{}",
+        assignment.tasks, job.spec.id, *attempt, worker.name, env_.context.now.wall - job.submitted,
+        worker.capacity.has_image(job.image) ? "" : ", image not cached");
     env_.capacities.recompute(worker);
   }
 }
 
-// Evicts work of lower priority if that makes room for the whole gang, and keeps what is free from
-// whoever comes after it in this pass: smaller jobs would take it each time.
+// Evicts lower-priority tasks if that frees capacity for the whole gang, and reserves what is free
+// for the rest of the pass: otherwise smaller jobs would use it each time and the gang would never
+// start.
 void PlacementPass::reserve_capacity_for_gang(const model::Job& job) {
   const auto best_zone = placement::most_gang_room(job.spec, machines_, feasibility_);
   if (!best_zone) return;
@@ -93,8 +98,8 @@
   preempt(job, missing, zones, false);
 }
 
-// Returns for how many of the gang's tasks there is room, which nobody else gets in this pass. An
-// empty zone stands for all.
+// Reserves the free capacity for the gang's tasks for the rest of the pass. Returns the number of
+// tasks that it suffices for. An empty `zone` means all zones.
 uint32_t PlacementPass::reserve_free_slots(const model::JobSpec& spec, const std::string& zone) {
   uint32_t missing = spec.tasks;
   for (size_t i = 0; i < machines_.size() && missing > 0; ++i) {
--- a/src/rooksill/partition/quota_usage.h
+++ b/src/rooksill/partition/quota_usage.h
@@ -18,10 +18,10 @@
 
 namespace rooksill::partition {
 
-// Sums the resources that each team's tasks use on the machines of a partition, including placements
-// that are not yet written to the store, and compares the sum with the team's quota share in the
-// partition. Once a team has been queried for a partition, its usage there is reported to the
-// leader, even when it is zero.
+// Sums the resources that each team's tasks use on the machines of a partition, including
+// placements that are not yet written to the store, and compares the sum with the team's quota
+// share in the partition. Once a team has been queried for a partition, its usage there is reported
+// to the leader, even when it is zero.
 class QuotaUsage {
  public:
   QuotaUsage(const Settings& settings, const store::Replica& replica,
@@ -65,7 +65,7 @@
   const Settings& settings_;
   const store::Replica& replica_;
   const quota::QuotaTransfers& quota_transfers_;
-  std::map<Key, model::Resources> used_;  // memory is summed as well but has no quota
+  std::map<Key, model::Resources> used_;     // memory is summed as well but has no quota
   std::map<Key, model::QuotaShare> shares_;  // cache, see invalidate_shares()
 };
 
--- a/src/rooksill/partition/routed_shards.h
+++ b/src/rooksill/partition/routed_shards.h
@@ -33,9 +33,9 @@
   // Adds a single shard.
   void add(const model::ShardId& shard) { shards_.insert(shard); }
 
-  // Routes pending shards while there is no leader: adds the shards that the fallback rule currently
-  // assigns to an owned partition and removes the others. Runs at most a few times per heartbeat
-  // interval; returns false if it was not due.
+  // Routes pending shards while there is no leader: adds the shards that the fallback rule
+  // currently assigns to an owned partition and removes the others. Runs at most a few times per
+  // heartbeat interval; returns false if it was not due.
   bool route_without_leader();
 
   bool empty() const { return shards_.empty(); }
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr double kTransferIntervalHeartbeats = 0.5;  // between two transfers of one team's quota
+constexpr double kTransferIntervalHeartbeats = 0.5;  // minimum between two transfers of one team
 
-// Tasks that have room in a partition and are beyond its share.
+// Returns the number of tasks that fit on the partition's machines but exceed its share.
 double tasks_beyond_share(const PartitionFit& fit, double requested_tasks) {
   return std::min(fit.within_capacity, requested_tasks) -
          std::min(fit.within_share, requested_tasks);
@@ -54,8 +54,9 @@
   share = saturating_subtract(share, quota_of_tasks(spec, tasks));
 }
 
-// The partition that could do most for this work; among equals the one with most left already, so
-// that what several others have left comes together.
+// Returns the partition that could place the most tasks beyond its share. Ties go to the partition
+// with the largest remaining share, so that the remainders of several partitions are collected in
+// one.
 std::optional<int> QuotaBalancer::best_receiver(const std::string& team, double requested_tasks,
                                                 const std::vector<PartitionFit>& fits) {
   std::optional<int> best;
@@ -108,7 +109,7 @@
   return transfers;
 }
 
-// From the partition that can give most of what is missing; nothing if none can.
+// Chooses as source the partition that can cover most of what is missing; nullopt if there is none.
 std::optional<wire::QuotaTransfer> QuotaBalancer::choose_transfer(
     const std::string& team, const Shortage& shortage, const std::vector<bool>& can_be_source) {
   std::optional<size_t> source;
--- a/src/rooksill/quota/quota_balancer.h
+++ b/src/rooksill/quota/quota_balancer.h
@@ -1,4 +1,4 @@
-// The leader's view of what is left of each team's quota, and which shares should move.
+// The leader's view of the remaining quota of each team, and its choice of quota transfers.
 #pragma once
 
 #include <map>
@@ -15,42 +15,46 @@
 
 namespace rooksill::quota {
 
-// What one shard of work could use in a partition, in tasks: those for which machines have room
-// there, and of these as many as the partition's share of the team's quota still takes.
+// How many tasks of one shard fit in a partition.
 struct PartitionFit {
-  double within_capacity = 0;
-  double within_share = 0;
+  double within_capacity = 0;  // tasks that fit on its machines
+  double within_share = 0;     // of these, tasks that the team's remaining quota share allows
 };
 
-// Where a partition has room on its machines and nothing left of a team's quota, while another has
-// some left that it cannot use, the leader asks the other's owner for a transfer. The owner
-// decides how much it can give (QuotaTransfers); the quota is kept without anything from here.
+// If a partition has free machine capacity but no remaining share of a team's quota, while another
+// partition has a remaining share that it cannot use, the leader requests a transfer from the other
+// partition's owner. The owner decides how much it transfers (QuotaTransfers). Enforcement of the
+// quota does not depend on this class.
 class QuotaBalancer {
  public:
   QuotaBalancer(runtime::Context& context, const store::Replica& replica)
       : context_(context), replica_(replica) {}
 
-  // Forgets what was deducted, and starts again from the use that owners report.
+  // Discards all deductions and shortages and starts again from the usage reported by the owners.
   void reset(const std::vector<wire::QuotaUse>& usage);
-  // How many of a job's tasks the partition's share still takes; infinite without a quota.
+  // Returns how many of the job's tasks the partition's remaining share allows; infinite if the
+  // quota is unlimited.
   double remaining_tasks(const model::JobSpec& spec, int partition);
-  // Work was routed to the partition and will use that much of its share.
+  // Deducts the quota of `tasks` tasks of the job, which were routed to the partition, from its
+  // share.
   void deduct(const model::JobSpec& spec, int partition, double tasks);
-  // Fewer of the wanted tasks are within any partition's share than machines have room for.
-  // `fits`: by partition.
+  // Records that no partition's share allows as many of the requested tasks as its machines have
+  // capacity for. `fits` is indexed by partition. Only the first shortage of each team counts.
   void record_shortage(const model::JobSpec& spec, double requested_tasks,
                        const std::vector<PartitionFit>& fits);
-  // Transfers to ask for now: at most one for each team that lacked quota since the last call, and
-  // with a pause between two of one team. `can_give` says by partition whose owner can be asked.
+  // Returns the transfers to request now: at most one for each team with a shortage recorded since
+  // the last call, and with a minimum interval between two transfers of the same team.
+  // `can_be_source` is indexed by partition and false where the owner cannot be reached.
   std::vector<wire::QuotaTransfer> decide_transfers(const std::vector<bool>& can_be_source);
 
  private:
-  // A team's quota lies where it is of no use, and is missing elsewhere.
+  // A team's quota is unused in some partitions and missing in another.
   struct Shortage {
-    int receiver = 0;                      // the partition that could use more
-    model::QuotaShare missing;             // what it could use beyond its share
-    std::vector<model::QuotaShare> spare;  // by partition: left, and of no use to this work there
+    int receiver = 0;                      // the partition that could use a larger share
+    model::QuotaShare missing;             // what the receiver could use beyond its share
+    std::vector<model::QuotaShare> spare;  // by partition: remaining and not usable by this work
   };
+  // Returns the remaining share; computed on first access after reset().
   model::QuotaShare& remaining(const std::string& team, int partition);
   std::optional<int> best_receiver(const std::string& team, double requested_tasks,
                                    const std::vector<PartitionFit>& fits);
@@ -60,11 +64,10 @@
 
   runtime::Context& context_;
   const store::Replica& replica_;
-  std::map<TeamPartition, model::QuotaShare>
-      remaining_;                                     // since the last refresh; made when asked for
-  std::map<TeamPartition, model::QuotaShare> used_;   // as owners last reported
-  std::map<std::string, Shortage> shortages_;         // by team; the first one noted
-  std::map<std::string, double> next_transfer_at_s_;  // by team; seconds of the steady clock
+  std::map<TeamPartition, model::QuotaShare> remaining_;  // cache, see remaining()
+  std::map<TeamPartition, model::QuotaShare> used_;       // as last reported by the owners
+  std::map<std::string, Shortage> shortages_;             // by team; the first one recorded
+  std::map<std::string, double> next_transfer_at_s_;      // by team; seconds of the steady clock
 };
 
 }  // namespace rooksill::quota
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A quota is small if it holds fewer than so many of the largest machines for each partition.
+// A quota is small if it covers fewer than so many of the largest machines per partition.
 constexpr double kSmallQuotaMachinesPerPartition = 2;
 
 double largest_machine_size(const store::Replica& replica, double model::Resources::*amount) {
@@ -25,14 +25,15 @@
   return quota < kSmallQuotaMachinesPerPartition * machine_size * partitions;
 }
 
-// Where a small quota lies at first: spreads teams over the partitions.
+// Returns the partition that initially holds a team's small quota. Hashing spreads the teams over
+// the partitions.
 int home_partition(const std::string& team, int partitions) {
   uint32_t hash = 0;
   for (unsigned char c : team) hash = hash * 31 + c;
   return static_cast<int>(hash % static_cast<uint32_t>(partitions));
 }
 
-// The share before the first transfer.
+// Returns a partition's share before the first transfer. `machine_size` is the largest machine's.
 double initial_share(double quota, double machine_size, const TeamPartition& share_key,
                      int partitions) {
   if (!is_small(quota, machine_size, partitions)) return quota / partitions;
--- a/src/rooksill/quota/quota_shares.h
+++ b/src/rooksill/quota/quota_shares.h
@@ -1,4 +1,4 @@
-// How each team's quota is divided among the partitions.
+// Division of each team's quota among the partitions.
 #pragma once
 
 #include <compare>
@@ -13,32 +13,34 @@
 
 namespace rooksill::quota {
 
-// Names one share of one team's quota.
+// Identifies one partition's share of one team's quota.
 struct TeamPartition {
   std::string team;
   int partition = 0;
   auto operator<=>(const TeamPartition&) const = default;
 };
 
-// What a partition may use of a team's quota: by the store's record if there is one, else an even
-// share. A quota too small for every partition to run two of the largest machine's tasks lies with
-// one partition at first. In the settings 0 means no limit; here a quota that is not limited is
-// infinite. A team that the settings do not know has none.
+// Returns what a partition may use of a team's quota: the share in the store's division record if
+// there is one, otherwise an equal share. A quota that is smaller than two of the largest machines
+// per partition is initially assigned to a single partition as a whole. 0 in the settings means
+// unlimited, which is returned as infinity. The share of a team that is not in the settings is
+// zero.
 model::QuotaShare quota_share(const Settings& settings, const store::Replica& replica,
                               const std::string& team, int partition);
 
-// The partition with all or most of a quota of CPUs that is too small to be divided evenly; nothing
-// if the quota is divided or not limited.
+// Returns the partition that holds all or most of a CPU quota that is too small to be divided
+// evenly; nullopt if the quota is large enough to be divided, or unlimited.
 std::optional<int> undivided_quota_partition(const Settings& settings,
                                              const store::Replica& replica,
                                              const std::string& team);
 
-// Of the store's record of a team's division; kNoRevision before the first transfer.
+// Returns the revision of the store's record of the team's quota division; kNoRevision before the
+// first transfer.
 model::Revision division_revision(const store::Replica& replica, const std::string& team);
 
-// What so many of a job's tasks take of a quota.
+// Returns the quota that `tasks` tasks of the job use.
 model::QuotaShare quota_of_tasks(const model::JobSpec& spec, double tasks);
-// What is left of a share without that amount; never below 0.
+// Returns the share minus the amount, with each component at least 0.
 model::QuotaShare saturating_subtract(const model::QuotaShare& share,
                                       const model::QuotaShare& amount);
 
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A share of a quota that is not limited is infinite; nothing of it is passed on or recorded.
+// The share of an unlimited quota is infinite; none of it is transferred or recorded.
 double finite_or_zero(double amount) { return std::isfinite(amount) ? amount : 0; }
 
 }  // namespace
@@ -22,7 +22,7 @@
 model::QuotaShare QuotaTransfers::outgoing(const std::string& team, int partition) const {
   auto found = transfers_.find(team);
   if (found == transfers_.end() || found->second.from != partition) return {};
-  // Once the division has changed, the store says what is left, whoever changed it.
+  // Once the division has changed, the store's record is authoritative, whoever changed it.
   if (division_revision(replica_, team) != found->second.division_revision) return {};
   return found->second.amount;
 }
@@ -42,7 +42,8 @@
   if (!is_valid) return;
   transfer.division_revision = request.revision;
   transfer.lease_revision = replica_.leases[static_cast<size_t>(request.from)].revision;
-  context_.info("quota", "team {}: {} CPUs and {} GPUs of its quota pass from partition {} to {}",
+  context_.info("quota",
+                "team {}: transferring quota of {} CPUs and {} GPUs from partition {} to {}",
                 request.team, amount.cpus, amount.gpus, transfer.from, transfer.to);
   send(request.team, transfers_.emplace(request.team, transfer).first->second);
 }
@@ -84,7 +85,8 @@
       transfers_.erase(found);
       return;
     case store::TransactionOutcome::kConflict:
-      // The keys read back show which precondition failed: tick() forgets the transfer then.
+      // The keys read back show which precondition failed; retry_transfers() then discards the
+      // transfer.
       return read_back(team, transfer, result.failed);
     case store::TransactionOutcome::kUnknown:
       transfer.has_unanswered_copy = true;
@@ -92,8 +94,8 @@
     case store::TransactionOutcome::kRefused:
     case store::TransactionOutcome::kNoLease:
     case store::TransactionOutcome::kTooLarge:
-      // Not executed. Where an earlier copy may yet be, the amount stays gone until that is
-      // settled.
+      // This copy was not executed. If an earlier copy may still be, the amount stays deducted
+      // until its outcome is certain.
       transfer.progress = Progress::kReadyToSend;
       if (!transfer.has_unanswered_copy) transfers_.erase(found);
       return;
@@ -112,7 +114,7 @@
 void QuotaTransfers::retry_transfers(const OwnsPartition& owns) {
   for (auto it = transfers_.begin(); it != transfers_.end();) {
     const auto& [team, transfer] = *it;
-    // With either precondition changed, no copy of the transaction can be executed any more.
+    // Once either precondition has changed, no copy of the transaction can be executed any more.
     const bool is_obsolete = !owns(transfer.from, transfer.lease_revision) ||
                              division_revision(replica_, team) != transfer.division_revision;
     it = is_obsolete && transfer.progress == Progress::kReadyToSend ? transfers_.erase(it)
--- a/src/rooksill/quota/quota_transfers.h
+++ b/src/rooksill/quota/quota_transfers.h
@@ -1,4 +1,4 @@
-// Transfers of a team's quota from a partition owned here to another partition.
+// Transfers of a team's quota share from an owned partition to another partition.
 #pragma once
 
 #include <functional>
@@ -16,32 +16,36 @@
 
 namespace rooksill::quota {
 
-// One transaction, written by the owner of the partition that gives, takes an amount from one
-// partition's share and adds it to another's, so that the division in the store never exceeds the
-// quota. Its preconditions are the division that it was decided on and the giver's lease. From the
-// decision until the outcome is certain the amount counts as gone for the giver; the receiver has
-// it once it is in the store.
+// A transfer is a single store transaction, written by the owner of the source partition. It
+// subtracts an amount from the source's share and adds it to the receiver's, so that the division
+// in the store never exceeds the quota. Its preconditions are the revisions of the division that it
+// was decided on and of the source partition's lease. The source treats the amount as transferred
+// from the decision until the outcome is certain; the receiver can use it once it is in the store.
 class QuotaTransfers {
  public:
-  // Whether this process owns a partition under the lease with that revision.
+  // Returns whether this process owns the partition under the lease with the given revision.
   using OwnsPartition = std::function<bool(int partition, model::Revision lease)>;
 
   QuotaTransfers(runtime::Context& context, const store::Replica& replica,
                  store::Committer& committer)
       : context_(context), replica_(replica), committer_(committer) {}
 
-  // Begins a transfer of at most what is unused of the giver's share. One at a time for each team.
+  // Starts a transfer of the requested amount, limited to `unused`, the unused part of the source's
+  // share. Ignores a request that is invalid, based on a stale division, or made while another
+  // transfer of the team is in progress.
   void start(const wire::QuotaTransfer& request, const model::QuotaShare& unused);
-  // Sends again what has no certain outcome, and forgets what can no longer be executed.
+  // Resends transactions without a certain outcome and discards transfers that can no longer be
+  // applied.
   void retry_transfers(const OwnsPartition& owns);
-  // What is to leave the partition, and may have left it already.
+  // Returns the amount of the team's transfer out of the partition that is in progress; it may
+  // already have been applied.
   model::QuotaShare outgoing(const std::string& team, int partition) const;
 
  private:
   enum class Progress {
     kReadyToSend,
     kSent,
-    kReadingBack  // the keys that a transaction without success had as preconditions
+    kReadingBack  // reading the precondition keys of a transaction that did not succeed
   };
   struct Transfer {
     int from = 0;
@@ -51,8 +55,8 @@
     model::Revision division_revision = model::kNoRevision;
     model::Revision lease_revision = model::kNoRevision;
     Progress progress = Progress::kReadyToSend;
-    // A copy of the transaction was sent and never answered, and may yet be executed. Stays set:
-    // the answer to a later copy says nothing about it.
+    // A copy of the transaction was sent without an answer and may still be executed. Never reset:
+    // the answer to a later copy says nothing about the earlier one.
     bool has_unanswered_copy = false;
   };
   void send(const std::string& team, Transfer& transfer);
