--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -82,12 +82,14 @@
   // unused part of each share. Must be called only when all machines of the owned partitions are in
   // the worker table: otherwise the usage is incomplete and too much of a share is transferred.
   void transfer_quotas();
-  // Runs a placement pass if one was requested and the minimum interval since the last pass has
-  // elapsed.
+  // Runs a placement pass if one was requested and the interval since the last one has elapsed. The
+  // interval grows with the number of pending shards.
   void run_placement_pass();
-  // Writes queued task state changes to the store, as far as its rate limits allow.
+  // Writes queued task state changes to the store as far as its rate limits allow; results that
+  // workers reported come first.
   void flush_changes() { changes_.flush(); }
-  // Sends urgent commands directly to workers; other commands go out with heartbeat replies.
+  // Reconciles the workers that changed since the last call and sends urgent commands directly to
+  // them; other commands go out with heartbeat replies.
   void send_urgent_commands() { command_sender_.send_urgent(); }
   // Requests a placement pass.
   void request_placement() { placement_requested_ = true; }
@@ -119,8 +121,7 @@
   }
   // Returns whether placement of the job's tasks is delayed after failures on several machines.
   bool is_backing_off(const std::string& job) const { return job_backoff_.backing_off(job); }
-  // Returns the last worker that sent a heartbeat without belonging to any partition, and clears
-  // it.
+  // Returns and clears the last worker that sent a heartbeat without belonging to any partition.
   std::optional<wire::UnassignedMachine> pop_unassigned_machine() {
     return heartbeat_endpoint_.take_unassigned_machine();
   }
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -200,10 +200,10 @@
       const uint64_t attempt = shard.tasks[index].attempt + 1;
       const model::TaskRef ref{job.spec.id, tasks.shard * job.tasks_per_shard + index};
       env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
-      env_.context.debug("placement", "task {} attempt {} placed on {} {:.2f} s after submission{}",
-                         wire::task_name(ref), attempt, worker.name,
-                         env_.context.now.wall - job.submitted,
-                         worker.capacity.has_image(job.image) ? "" : ", image not cached");
+      env_.context.debug(
+          "placement", "task {} attempt {} assigned to {} {:.2f} s after submission{}",
+          wire::task_name(ref), attempt, worker.name, env_.context.now.wall - job.submitted,
+          worker.capacity.has_image(job.image) ? "" : ", image not cached");
     }
     env_.capacities.recompute(worker);
   }
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -61,12 +61,11 @@
 
   // Places as many of the shard's tasks as there is capacity for. Not for gangs.
   void place_shard(const placement::WaitingShard& pending);
-  // Places all tasks of the gang or none; in the latter case may preempt and reserve capacity for
-  // it.
+  // Places all tasks of the gang or none. If it does not fit, may preempt and reserve capacity.
   void place_gang(const placement::WaitingShard& pending);
 
  private:
-  // The tasks of a shard that are to be placed, in the order in which they are assigned.
+  // The tasks of one shard that are to be placed, in the order in which they are assigned.
   struct ShardTasks {
     const model::Job* job = nullptr;
     uint32_t shard = 0;
@@ -97,8 +96,8 @@
 
   const Environment env_;
   const std::vector<agent::Worker*> workers_;
-  const std::vector<const placement::MachineCapacity*>
-      machines_;  // capacities, parallel to workers_
+  // Capacities of the workers' machines, parallel to workers_.
+  const std::vector<const placement::MachineCapacity*> machines_;
   const placement::Feasibility feasibility_;
   const double cheapest_cpu_;  // price per CPU and hour
   placement::PreemptionPlanner preemption_;
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -73,7 +73,7 @@
       env_.changes.add({job.spec.id, next++},
                        TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
     env_.context.debug(
-        "placement", "{} tasks of gang {} attempt {} placed on {} {:.2f} s after submission{}",
+        "placement", "{} tasks of gang {} attempt {} assigned to {} {:.2f} s after submission{}",
         assignment.tasks, job.spec.id, *attempt, worker.name, env_.context.now.wall - job.submitted,
         worker.capacity.has_image(job.image) ? "" : ", image not cached");
     env_.capacities.recompute(worker);
--- a/src/rooksill/partition/routed_shards.cc
+++ b/src/rooksill/partition/routed_shards.cc
@@ -29,7 +29,7 @@
     const int partition =
         routing::fallback_partition(context_.settings, replica_, job, i, context_.now.wall);
     const model::ShardId id{job.spec.id, i};
-    if (owned_.owns(partition))
+    if (owned_partitions_.owns(partition))
       shards_.insert(id);
     else
       shards_.erase(id);
--- a/src/rooksill/partition/routed_shards.h
+++ b/src/rooksill/partition/routed_shards.h
@@ -22,8 +22,8 @@
   using Shards = std::set<model::ShardId>;
 
   RoutedShards(const runtime::Context& context, const store::Replica& replica,
-               const changes::OwnedPartitions& owned)
-      : context_(context), replica_(replica), owned_(owned) {}
+               const changes::OwnedPartitions& owned_partitions)
+      : context_(context), replica_(replica), owned_partitions_(owned_partitions) {}
 
   // Returns false if the update is stale: an update of a later leader term was already applied.
   bool is_current(const wire::RoutingUpdate& update) const { return update.term >= term_; }
@@ -50,7 +50,7 @@
 
   const runtime::Context& context_;
   const store::Replica& replica_;
-  const changes::OwnedPartitions& owned_;
+  const changes::OwnedPartitions& owned_partitions_;
   Shards shards_;
   uint64_t term_ = 0;  // leader term of the last applied update
   runtime::IntervalTimer fallback_timer_;
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -55,8 +55,7 @@
 }
 
 // Returns the partition that could place the most tasks beyond its share. Ties go to the partition
-// with the largest remaining share, so that the remainders of several partitions are collected in
-// one.
+// with the largest remaining share, so that unused quota of several partitions collects in one.
 std::optional<int> QuotaBalancer::best_receiver(const std::string& team, double requested_tasks,
                                                 const std::vector<PartitionFit>& fits) {
   std::optional<int> best;
