--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -85,8 +85,8 @@
   // Runs a placement pass if one was requested and the interval since the last one has elapsed. The
   // interval grows with the number of pending shards.
   void run_placement_pass();
-  // Writes queued task state changes to the store as far as its rate limits allow; results that
-  // workers reported come first.
+  // Writes queued task state changes to the store as far as its rate limits allow, in the order of
+  // changes::WriteRank: urgent results come first.
   void flush_changes() { changes_.flush(); }
   // Reconciles the workers that changed since the last call and sends urgent commands directly to
   // them; other commands go out with heartbeat replies.
