--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -95,7 +95,7 @@
 
 // Returns why the controller may not own partitions; empty if it may.
 std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
+  if (is_self(label)) return owner_.suspects_own_isolation() ? "it suspects itself" : "";
   if (!peers_.alive(label)) return "it is not alive";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
@@ -248,7 +248,7 @@
 }
 
 bool PartitionAssigner::suspects_itself(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_itself();
+  if (is_self(label)) return owner_.suspects_own_isolation();
   const membership::Peer* peer = peers_.find(label);
   return peer != nullptr && peer->heartbeat.suspects_itself;
 }
--- a/src/rooksill/leader/pending_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -26,7 +26,7 @@
   const double now = context_.now.steady;
   const double min_pending_s = context_.settings.platform.report_s / kMinPendingTimesPerReport;
   for (const auto& id : replica_.waiting_jobs) {
-    if (owner_.backing_off(id)) continue;
+    if (owner_.is_backing_off(id)) continue;
     const model::Job& job = *replica_.job(id);
     uint32_t tasks = 0;
     for (uint32_t index = 0; index < job.shards.size(); ++index) {
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -47,7 +47,7 @@
 
 // Returns the quota use reported by reachable partition owners.
 std::vector<wire::QuotaUse> Router::reported_quota_use() const {
-  std::vector<wire::QuotaUse> use = owner_.quota_use();
+  std::vector<wire::QuotaUse> use = owner_.quota_usage();
   for (const auto& label : peers_.labels()) {
     if (!peers_.heard(label)) continue;
     for (const auto& reported : peers_.find(label)->heartbeat.quota_use)
@@ -214,7 +214,7 @@
         message.routes.empty() && message.moves.empty() && message.transfers.empty();
     if (!full && is_empty) continue;
     if (label == context_.settings.platform.label)
-      owner_.routes(message);
+      owner_.apply_routing_update(message);
     else if (!label.empty())
       peers_.send(label, wire::PeerKind::kRouting, wire::pack(message));
   }
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -30,13 +30,14 @@
   return capacities;
 }
 
-// Replicas that users wait for: where lower work makes room they start sooner than where their
-// image has to be fetched.
-bool prefers_preemption_to_fetching(const model::JobSpec& spec) {
+// Production service replicas are needed by users immediately: they start sooner on a machine that
+// has their image, after preempting lower-priority work, than where the image must be fetched
+// first.
+bool prefers_preemption_to_image_fetch(const model::JobSpec& spec) {
   return spec.shape == model::Shape::kService && spec.priority == model::Priority::kProd;
 }
 
-bool depends_on_zones(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
+bool has_zone_constraint(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
 
 }  // namespace
 
@@ -49,21 +50,21 @@
       cheapest_cpu_(placement::cheapest_cpu_price(env_.replica.types)),
       preemption_(machines_, feasibility_, budget,
                   [this](const MachineCapacity& machine, model::Priority below) {
-                    return list_preemptible(machine, below);
+                    return preemptible_tasks(machine, below);
                   }),
-      set_aside_(workers_.size()) {}
+      reserved_(workers_.size()) {}
 
-void PlacementPass::place_shard(const PendingShard& waiting) {
-  const model::Job& job = *waiting.job;
-  // Looked at before anything else: of a long queue nearly all shards end here.
-  if (unmet_.covers(job.spec)) return;
-  ShardTasks tasks{&job, waiting.shard, tasks_to_place(waiting)};
+void PlacementPass::place_shard(const PendingShard& pending) {
+  const model::Job& job = *pending.job;
+  // Checked first because most shards of a long queue are rejected here.
+  if (unmet_requests_.covers(job.spec)) return;
+  ShardTasks tasks{&job, pending.shard, tasks_to_place(pending)};
   if (tasks.indexes.empty()) return;
   std::optional<ZoneLimits> zones = zone_limits(job);
   if (!zones) return;
-  std::vector<MachineOption> options = options_for(job, *zones);
+  std::vector<MachineOption> options = machine_options(job, *zones);
   if (job.spec.one_zone && !zones->is_restricted()) {
-    // All of the job's tasks must come to fit in one zone.
+    // All tasks of the job must eventually fit in the chosen zone.
     zones->restrict_to(placement::zone_with_most_slots(options));
     std::erase_if(options, [&](const MachineOption& option) {
       return zones->remaining(option.capacity->zone) == 0;
@@ -74,36 +75,39 @@
   for (const MachineOption& option : options) {
     const int partition = option.capacity->partition;
     if (demand.quota_tasks.count(partition) == 0)
-      demand.quota_tasks[partition] = env_.quota_usage.tasks_left(job.spec, partition);
+      demand.quota_tasks[partition] = env_.quota_usage.remaining_tasks(job.spec, partition);
   }
 
-  auto rest = options.end();
-  if (prefers_preemption_to_fetching(job.spec))
-    rest = std::find_if(options.begin(), options.end(), [&](const MachineOption& option) {
-      return !option.capacity->has_image(job.image);
-    });
-  assign({options.begin(), rest}, demand, tasks);
-  if (demand.tasks > 0 && rest != options.end()) {
+  auto first_without_image = options.end();
+  if (prefers_preemption_to_image_fetch(job.spec))
+    first_without_image = std::find_if(
+        options.begin(), options.end(),
+        [&](const MachineOption& option) { return !option.capacity->has_image(job.image); });
+  assign_tasks({options.begin(), first_without_image}, demand, tasks);
+  if (demand.tasks > 0 && first_without_image != options.end()) {
     demand.tasks -= preempt(job, demand.tasks, demand.zones, true);
-    assign({rest, options.end()}, demand, tasks);
+    assign_tasks({first_without_image, options.end()}, demand, tasks);
   }
   if (demand.tasks > 0 && job.spec.priority > model::Priority::kIdle && !preemption_.is_exhausted())
     demand.tasks -= preempt(job, demand.tasks, demand.zones, false);
-  if (demand.tasks > 0) unmet_.add(job.spec);
+  if (demand.tasks > 0) unmet_requests_.add(job.spec);
 }
 
-// Tasks of one shard are alike: all of them look for places at once.
-std::vector<uint32_t> PlacementPass::tasks_to_place(const PendingShard& waiting) const {
-  const model::TaskShard& shard = waiting.job->shards[waiting.shard];
-  const changes::ShardChanges* pending =
-      env_.changes.find_shard({waiting.job->spec.id, waiting.shard});
+// Returns the indexes of the shard's unplaced tasks. Tasks of one shard have identical requests, so
+// all of them are placed together.
+std::vector<uint32_t> PlacementPass::tasks_to_place(const PendingShard& pending) const {
+  const model::TaskShard& shard = pending.job->shards[pending.shard];
+  const changes::ShardChanges* shard_changes =
+      env_.changes.find_shard({pending.job->spec.id, pending.shard});
   std::vector<uint32_t> indexes;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
-    const TaskChange* change = pending == nullptr ? nullptr : pending->find(i);
+    const TaskChange* change = shard_changes == nullptr ? nullptr : shard_changes->find(i);
     if (change != nullptr) {
-      // Ended elsewhere, and not written yet: it may get its next place with the same change.
-      if (change->kind == TaskChange::Kind::kLost && !pending->is_in_flight()) indexes.push_back(i);
+      // The task's attempt has ended but that is not yet written: the next placement can go into
+      // the same write.
+      if (change->kind == TaskChange::Kind::kLost && !shard_changes->is_in_flight())
+        indexes.push_back(i);
     } else if (env_.replica.waits(task) &&
                (task.machine.empty() || env_.replica.lists_cover(shard))) {
       indexes.push_back(i);
@@ -112,78 +116,81 @@
   return indexes;
 }
 
-// How many more of the job's tasks each zone may have; nothing if the zone of one of them is not
-// known.
+// Returns how many more of the job's tasks each zone may have; nullopt if the zone of a placed task
+// is unknown.
 std::optional<ZoneLimits> PlacementPass::zone_limits(const model::Job& job) const {
   ZoneLimits zones(job.spec);
-  if (!depends_on_zones(job.spec)) return zones;
+  if (!has_zone_constraint(job.spec)) return zones;
   for (uint32_t shard = 0; shard < job.shards.size(); ++shard)
-    if (!count_by_zone(job, shard, zones)) return std::nullopt;
+    if (!count_tasks_by_zone(job, shard, zones)) return std::nullopt;
   return zones;
 }
 
-// Counts the shard's tasks where they are and where they were decided to go. False if the zone of
-// one is not known.
-bool PlacementPass::count_by_zone(const model::Job& job, uint32_t shard, ZoneLimits& zones) const {
-  const changes::ShardChanges* pending = env_.changes.find_shard({job.spec.id, shard});
-  // What has ended on a machine is there no more, though that is not written yet.
-  auto ended = [&](uint32_t index) {
-    if (pending == nullptr) return false;
-    auto change = pending->pending().find(index);
-    return change != pending->pending().end() && change->second.kind == TaskChange::Kind::kLost;
+// Counts the shard's tasks in the zones of their current machines and of placements that are not
+// yet written. Returns false if the zone of one of them is unknown.
+bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard,
+                                        ZoneLimits& zones) const {
+  const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, shard});
+  // A task that has exited is no longer on its machine, even if that is not yet written.
+  auto has_ended = [&](uint32_t index) {
+    if (shard_changes == nullptr) return false;
+    auto change = shard_changes->pending().find(index);
+    return change != shard_changes->pending().end() &&
+           change->second.kind == TaskChange::Kind::kLost;
   };
   const auto& tasks = job.shards[shard].tasks;
   for (uint32_t i = 0; i < tasks.size(); ++i) {
-    if (tasks[i].machine.empty() || ended(i)) continue;
-    // A machine that is in no list here may have been added since the lists were read: other
-    // controllers' updates of shards come faster than the watch.
+    if (tasks[i].machine.empty() || has_ended(i)) continue;
+    // A machine missing from the machine lists may have been added after the lists were read: other
+    // controllers' shard updates can arrive before the store's watch events.
     if (env_.replica.machine_gone(tasks[i].machine) && !env_.replica.lists_cover(job.shards[shard]))
       return false;
-    count_on(tasks[i].machine, job.spec, zones);
+    count_task_on(tasks[i].machine, job.spec, zones);
   }
-  if (pending == nullptr) return true;
-  for (const auto* changes : {&pending->pending(), &pending->sent()})
+  if (shard_changes == nullptr) return true;
+  for (const auto* changes : {&shard_changes->pending(), &shard_changes->sent()})
     for (const auto& [i, change] : *changes)
-      if (change.kind == TaskChange::Kind::kPlaced) count_on(change.machine.name, job.spec, zones);
+      if (change.kind == TaskChange::Kind::kPlaced)
+        count_task_on(change.machine.name, job.spec, zones);
   return true;
 }
 
-void PlacementPass::count_on(const std::string& machine, const model::JobSpec& spec,
-                             ZoneLimits& zones) const {
-  const model::Machine* known = env_.replica.machine(machine);
-  if (known == nullptr) return;
-  zones.add(known->zone);
-  if (spec.one_zone) zones.restrict_to(known->zone);
+void PlacementPass::count_task_on(const std::string& machine, const model::JobSpec& spec,
+                                  ZoneLimits& zones) const {
+  const model::Machine* record = env_.replica.machine(machine);
+  if (record == nullptr) return;
+  zones.add(record->zone);
+  if (spec.one_zone) zones.restrict_to(record->zone);
 }
 
-// How many more of the job's tasks the machine takes, also by the team's quota.
-uint32_t PlacementPass::slots(const model::JobSpec& spec, size_t machine) {
+// Returns how many more of the job's tasks fit on the machine and in the team's quota share.
+uint32_t PlacementPass::free_slots(const model::JobSpec& spec, size_t machine) {
   const MachineCapacity& capacity = *machines_[machine];
-  double count = feasibility_.free_slots(spec, capacity, set_aside_[machine]);
+  double count = feasibility_.free_slots(spec, capacity, reserved_[machine]);
   if (count < 1) return 0;
-  count = std::min(count, env_.quota_usage.tasks_left(spec, capacity.partition));
+  count = std::min(count, env_.quota_usage.remaining_tasks(spec, capacity.partition));
   return count < 1 ? 0 : static_cast<uint32_t>(count);
 }
 
-std::vector<MachineOption> PlacementPass::options_for(const model::Job& job,
-                                                      const ZoneLimits& zones) {
+std::vector<MachineOption> PlacementPass::machine_options(const model::Job& job,
+                                                          const ZoneLimits& zones) {
   std::vector<MachineOption> options;
   for (size_t i = 0; i < machines_.size(); ++i) {
     const MachineCapacity& capacity = *machines_[i];
     if (!placement::Feasibility::allows(job.spec, capacity)) continue;
     if (zones.remaining(capacity.zone) == 0) continue;
-    const uint32_t count = slots(job.spec, i);
+    const uint32_t count = free_slots(job.spec, i);
     if (count == 0) continue;
     const double score = placement::score(job, capacity, cheapest_cpu_,
-                                          env_.failed_there(job.spec.id, capacity.machine));
+                                          env_.has_failed_on(job.spec.id, capacity.machine));
     options.push_back({i, &capacity, count, placement::image_wait_s(job, capacity), score});
   }
   return options;
 }
 
-// Plans places on the machines, in their order, and decides them.
-void PlacementPass::assign(std::span<const MachineOption> options, Demand& demand,
-                           ShardTasks& tasks) {
+// Assigns tasks to the machines in the order given and queues the placements as task changes.
+void PlacementPass::assign_tasks(std::span<const MachineOption> options, Demand& demand,
+                                 ShardTasks& tasks) {
   const model::Job& job = *tasks.job;
   const model::TaskShard& shard = job.shards[tasks.shard];
   for (const auto& assignment : placement::assign_in_order(options, demand)) {
@@ -193,17 +200,17 @@
       const uint64_t attempt = shard.tasks[index].attempt + 1;
       const model::TaskRef ref{job.spec.id, tasks.shard * job.tasks_per_shard + index};
       env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
-      env_.context.debug("placement", "task {} attempt {} goes to {} after {:.2f} s{}",
-                         wire::task_name(ref), attempt, worker.name,
-                         env_.context.now.wall - job.submitted,
-                         worker.capacity.has_image(job.image) ? "" : ", image not there");
+      env_.context.debug(
+          "placement", "task {} attempt {} assigned to {} {:.2f} s after submission{}",
+          wire::task_name(ref), attempt, worker.name, env_.context.now.wall - job.submitted,
+          worker.capacity.has_image(job.image) ? "" : ", image not cached");
     }
     env_.capacities.recompute(worker);
   }
 }
 
-// Evicts work of lower priority to make room for so many tasks. Returns for how many of them room
-// is on its way.
+// Evicts lower-priority tasks to free capacity for `tasks` tasks of the job. Returns for how many
+// of them capacity is being freed.
 uint32_t PlacementPass::preempt(const model::Job& job, uint32_t tasks, const ZoneLimits& zones,
                                 bool only_with_image) {
   const auto within_quota = [&](int partition) {
@@ -214,10 +221,10 @@
   for (const placement::Eviction& eviction : plan.evictions) {
     agent::Worker& worker = *workers_[eviction.machine_index];
     for (const model::TaskRef& ref : eviction.tasks) {
-      env_.context.debug("placement", "task {} on {} is evicted to make room for {}",
+      env_.context.debug("placement", "task {} on {} evicted to free capacity for job {}",
                          wire::task_name(ref), worker.name, job.spec.id);
       env_.context.count("tasks_stopped");
-      env_.evicted.mark_evicted(ref, env_.replica.task(ref)->attempt);
+      env_.evicted_tasks.mark_evicted(ref, env_.replica.task(ref)->attempt);
     }
     env_.workers.mark_changed(worker);
     env_.capacities.recompute(worker);
@@ -225,13 +232,13 @@
   return plan.tasks;
 }
 
-std::vector<placement::PreemptibleTask> PlacementPass::list_preemptible(
+std::vector<placement::PreemptibleTask> PlacementPass::preemptible_tasks(
     const MachineCapacity& machine, model::Priority below) const {
   std::vector<placement::PreemptibleTask> tasks;
   for (const auto& ref : env_.replica.placed_on(machine.machine)) {
     const model::JobSpec& spec = env_.replica.job(ref.job)->spec;
     if (spec.priority >= below || spec.shape == model::Shape::kGang) continue;
-    if (env_.evicted.contains(ref)) continue;
+    if (env_.evicted_tasks.contains(ref)) continue;
     tasks.push_back({spec.priority, ref, spec.request});
   }
   return tasks;
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -1,4 +1,4 @@
-// One pass of placement over the machines that take tasks at present.
+// One placement pass over the machines that are currently schedulable.
 #pragma once
 
 #include <cstddef>
@@ -30,75 +30,79 @@
 
 namespace rooksill::partition {
 
-// Takes shards in the order of their urgency: plans where their tasks go and what is evicted for
-// them (package placement), and applies each plan at once, so that the next one is made on what is
-// left. What it decides becomes changes of task states; nothing is in the store when it returns.
+// Places the tasks of one shard after the other; the caller passes the shards in order of urgency.
+// Package placement plans the machines of the tasks and the evictions for them. Each plan is
+// applied immediately, so that the next one sees the capacity that remains. Decisions are queued as
+// task state changes; none of them is in the store yet when the pass returns.
 class PlacementPass {
  public:
-  // What a pass reads and changes. All of it has to outlive the pass.
+  // The state that a pass reads and changes. All of it must outlive the pass.
   struct Environment {
     runtime::Context& context;
     const store::Replica& replica;
-    const changes::OwnedPartitions& owned;
+    const changes::OwnedPartitions& owned_partitions;
     changes::TaskChangeQueue& changes;
     agent::WorkerTable& workers;
     CapacityTracker& capacities;
     QuotaUsage& quota_usage;
-    placement::EvictedTasks& evicted;
-    // Whether tasks of the job with this id have failed on the machine.
-    std::function<bool(const std::string& job, const std::string& machine)> failed_there;
+    placement::EvictedTasks& evicted_tasks;
+    // Returns whether tasks of the job with this id have failed on the machine.
+    std::function<bool(const std::string& job, const std::string& machine)> has_failed_on;
   };
 
-  // `workers` are those that take tasks; the budget is kept from pass to pass.
+  // `workers` are the schedulable workers, with up-to-date capacities. `budget` limits evictions
+  // across passes.
   PlacementPass(Environment environment, placement::EvictionBudget& budget,
                 std::vector<agent::Worker*> workers);
 
-  // Parts of a pass refer to others.
+  // Not copyable: members hold references to other members.
   PlacementPass(const PlacementPass&) = delete;
   PlacementPass& operator=(const PlacementPass&) = delete;
 
-  // Places as many of the shard's tasks as find room. Not for gangs.
-  void place_shard(const placement::PendingShard& waiting);
-  // Places all tasks of the gang or none.
-  void place_gang(const placement::PendingShard& waiting);
+  // Places as many of the shard's tasks as there is capacity for. Not for gangs.
+  void place_shard(const placement::PendingShard& pending);
+  // Places all tasks of the gang or none. If it does not fit, may preempt and reserve capacity.
+  void place_gang(const placement::PendingShard& pending);
 
  private:
-  // Tasks of a shard that look for places, in the order in which they get them.
+  // The tasks of one shard that are to be placed, in the order in which they are assigned.
   struct ShardTasks {
     const model::Job* job = nullptr;
     uint32_t shard = 0;
-    std::vector<uint32_t> indexes;  // in the shard
-    size_t placed = 0;              // of these
+    std::vector<uint32_t> indexes;  // task indexes in the shard
+    size_t placed = 0;              // how many of `indexes` are already assigned
   };
 
-  std::vector<uint32_t> tasks_to_place(const placement::PendingShard& waiting) const;
+  std::vector<uint32_t> tasks_to_place(const placement::PendingShard& pending) const;
   std::optional<placement::ZoneLimits> zone_limits(const model::Job& job) const;
-  bool count_by_zone(const model::Job& job, uint32_t shard, placement::ZoneLimits& zones) const;
-  void count_on(const std::string& machine, const model::JobSpec& spec,
-                placement::ZoneLimits& zones) const;
-  uint32_t slots(const model::JobSpec& spec, size_t machine);
-  std::vector<placement::MachineOption> options_for(const model::Job& job,
-                                                    const placement::ZoneLimits& zones);
-  void assign(std::span<const placement::MachineOption> options, placement::Demand& demand,
-              ShardTasks& tasks);
+  bool count_tasks_by_zone(const model::Job& job, uint32_t shard,
+                           placement::ZoneLimits& zones) const;
+  void count_task_on(const std::string& machine, const model::JobSpec& spec,
+                     placement::ZoneLimits& zones) const;
+  uint32_t free_slots(const model::JobSpec& spec, size_t machine);
+  std::vector<placement::MachineOption> machine_options(const model::Job& job,
+                                                        const placement::ZoneLimits& zones);
+  void assign_tasks(std::span<const placement::MachineOption> options, placement::Demand& demand,
+                    ShardTasks& tasks);
   uint32_t preempt(const model::Job& job, uint32_t tasks, const placement::ZoneLimits& zones,
                    bool only_with_image);
-  std::vector<placement::PreemptibleTask> list_preemptible(
+  std::vector<placement::PreemptibleTask> preemptible_tasks(
       const placement::MachineCapacity& machine, model::Priority below) const;
 
   std::optional<uint64_t> next_gang_attempt(const model::Job& job) const;
   placement::Demand gang_demand(const model::JobSpec& spec);
-  void make_room_for_gang(const model::Job& job);
-  uint32_t set_aside_for_gang(const model::JobSpec& spec, const std::string& zone);
+  void reserve_capacity_for_gang(const model::Job& job);
+  uint32_t reserve_free_slots(const model::JobSpec& spec, const std::string& zone);
 
   const Environment env_;
   const std::vector<agent::Worker*> workers_;
-  const std::vector<const placement::MachineCapacity*> machines_;  // of the workers
+  // Capacities of the workers' machines, parallel to workers_.
+  const std::vector<const placement::MachineCapacity*> machines_;
   const placement::Feasibility feasibility_;
-  const double cheapest_cpu_;  // price, an hour
+  const double cheapest_cpu_;  // price per CPU and hour
   placement::PreemptionPlanner preemption_;
-  placement::UnmetRequests unmet_;
-  std::vector<model::Resources> set_aside_;  // by machine: free, and kept for gangs that wait
+  placement::UnmetRequests unmet_requests_;
+  std::vector<model::Resources> reserved_;  // by machine: free capacity kept for pending gangs
 };
 
 }  // namespace rooksill::partition
--- a/src/rooksill/partition/routed_shards.cc
+++ b/src/rooksill/partition/routed_shards.cc
@@ -5,8 +5,8 @@
 namespace rooksill::partition {
 
 namespace {
-// How often, in a report interval, shards are routed anew while there is no leader.
-constexpr double kFallbacksPerReport = 6;
+// How many times per heartbeat interval shards are rerouted while there is no leader.
+constexpr double kFallbackRoutingsPerHeartbeat = 6;
 }  // namespace
 
 void RoutedShards::apply(const wire::RoutingUpdate& update) {
@@ -16,7 +16,7 @@
 }
 
 bool RoutedShards::route_without_leader() {
-  const double interval_s = context_.settings.platform.report_s / kFallbacksPerReport;
+  const double interval_s = context_.settings.platform.report_s / kFallbackRoutingsPerHeartbeat;
   if (!fallback_timer_.fire(context_.now.steady, interval_s)) return false;
   for (const auto& id : replica_.waiting_jobs) route_job_without_leader(*replica_.job(id));
   return true;
@@ -29,7 +29,7 @@
     const int partition =
         routing::fallback_partition(context_.settings, replica_, job, i, context_.now.wall);
     const model::ShardId id{job.spec.id, i};
-    if (owned_.owns(partition))
+    if (owned_partitions_.owns(partition))
       shards_.insert(id);
     else
       shards_.erase(id);
