--- a/src/rooksill/agent/command_sender.cc
+++ b/src/rooksill/agent/command_sender.cc
@@ -12,19 +12,19 @@
 namespace {
 using wire::WorkerCommand;
 
-constexpr size_t kMaxCommands = 64;      // in one request
-constexpr double kTimeoutReports = 0.5;  // in report intervals
+constexpr size_t kMaxCommandsPerRequest = 64;      // in one request
+constexpr double kCommandTimeoutHeartbeats = 0.5;  // in report intervals
 // Parts of a report interval until the next command: after starts were held back, after the worker
 // refused the command, and after it did not answer.
-constexpr double kHeldBackPart = 20, kRefusedPart = 30, kUnansweredPart = 3;
+constexpr double kDeferredStartsDelayDivisor = 20, kRefusedDelayDivisor = 30, kUnansweredDelayDivisor = 3;
 
-constexpr int kOk = 200, kConflict = 409;
+constexpr int kHttpOk = 200, kHttpConflict = 409;
 
 bool is_start(const WorkerCommand& command) { return command.op == WorkerCommand::Op::kStart; }
 
 // Removing alone is not urgent: the next answer carries it. Before a start it is, since an older
 // attempt that is still listed would make the worker refuse the new one.
-bool urgent(const std::vector<WorkerCommand>& commands) {
+bool is_urgent(const std::vector<WorkerCommand>& commands) {
   return std::any_of(commands.begin(), commands.end(), [](const WorkerCommand& command) {
     return command.op != WorkerCommand::Op::kRemove;
   });
@@ -40,67 +40,67 @@
       renewal_permit_(dependencies.renewal_permit) {}
 
 void CommandSender::send_urgent() {
-  for (const auto& name : workers_.take_changed())
-    if (Worker* worker = workers_.claim_changed(name)) handle_changed(*worker);
+  for (const auto& name : workers_.extract_changed_names())
+    if (Worker* worker = workers_.claim_changed(name)) process_changed(*worker);
 }
 
-void CommandSender::handle_changed(Worker& worker) {
+void CommandSender::process_changed(Worker& worker) {
   // The command's answer will mark the worker as changed again.
-  if (worker.tokens.command_in_flight()) return;
-  if (!may_send(worker)) return workers_.defer(worker);
+  if (worker.tokens.has_command_in_flight()) return;
+  if (!can_send_to(worker)) return workers_.defer(worker);
   // Of a partition just acquired: an empty command shows the worker our token and brings its
   // report.
-  if (!worker.reported) return send(worker, {});
-  if (std::exchange(worker.answered_in_full, false)) return;
+  if (!worker.has_reported) return send(worker, {});
+  if (std::exchange(worker.has_received_all_commands, false)) return;
   std::vector<WorkerCommand> commands = reconciler_.reconcile(worker);
-  if (!may_start_tasks()) hold_back_starts(worker, commands);
-  if (!urgent(commands)) return;
-  if (commands.size() > kMaxCommands) commands.resize(kMaxCommands);
+  if (!can_start_tasks()) defer_starts(worker, commands);
+  if (!is_urgent(commands)) return;
+  if (commands.size() > kMaxCommandsPerRequest) commands.resize(kMaxCommandsPerRequest);
   send(worker, commands);
 }
 
-bool CommandSender::may_send(const Worker& worker) const {
+bool CommandSender::can_send_to(const Worker& worker) const {
   return !worker.address.empty() && context_.now.steady >= worker.next_command_at &&
-         in_flight_ < runtime::kCommandSockets * context_.settings.platform.max_sockets;
+         commands_in_flight_ < runtime::kCommandSockets * context_.settings.platform.max_sockets;
 }
 
 // After a pause, or long without the store, the job may be cancelled and the task elsewhere, for
 // all that is known here; and a worker in a new agent epoch would run it for a lease.
-bool CommandSender::may_start_tasks() const {
-  return replica_.synced_at >= context_.resumed_at && renewal_permit_.granted();
+bool CommandSender::can_start_tasks() const {
+  return replica_.synced_at >= context_.resumed_at && renewal_permit_.is_granted();
 }
 
-void CommandSender::hold_back_starts(Worker& worker, std::vector<WorkerCommand>& commands) {
+void CommandSender::defer_starts(Worker& worker, std::vector<WorkerCommand>& commands) {
   if (remove_starts(commands) == 0) return;
   worker.next_command_at =
-      context_.now.steady + context_.settings.platform.report_s / kHeldBackPart;
+      context_.now.steady + context_.settings.platform.report_s / kDeferredStartsDelayDivisor;
   workers_.defer(worker);
 }
 
 void CommandSender::send(Worker& worker, const std::vector<WorkerCommand>& commands) {
   const model::FencingToken token = worker.tokens.current;
   worker.tokens.in_flight = token;
-  ++in_flight_;
+  ++commands_in_flight_;
   context_.debug("agent", "machine {}: {} commands, token {}", worker.name, commands.size(),
                  model::number(token));
   const uint64_t agent_epoch = std::max<uint64_t>(1, worker.version.agent_epoch);
-  const Sent sent{worker.name, token, std::any_of(commands.begin(), commands.end(), is_start)};
+  const InFlightCommand sent{worker.name, token, std::any_of(commands.begin(), commands.end(), is_start)};
   context_.call(runtime::Target::kWorker, worker.address, "POST", "/commands",
                 wire::encode_commands(token, agent_epoch, commands),
-                context_.settings.platform.report_s * kTimeoutReports,
-                [this, sent](const runtime::CallDone& done) { on_done(sent, done); });
+                context_.settings.platform.report_s * kCommandTimeoutHeartbeats,
+                [this, sent](const runtime::CallDone& done) { on_call_done(sent, done); });
 }
 
-void CommandSender::on_done(const Sent& sent, const runtime::CallDone& done) {
-  --in_flight_;
+void CommandSender::on_call_done(const InFlightCommand& sent, const runtime::CallDone& done) {
+  --commands_in_flight_;
   Worker* worker = workers_.find(sent.machine);
   // A worker that was removed and added again since has no command under way, or another one.
   if (worker == nullptr || worker->tokens.in_flight != sent.token) return;
   worker->tokens.in_flight = model::kNoFencingToken;
   workers_.mark_changed(*worker);
-  const bool answered = done.status == kOk || done.status == kConflict;
+  const bool is_acknowledged = done.status == kHttpOk || done.status == kHttpConflict;
   const auto heartbeat = wire::parse_heartbeat(done.body);
-  if (answered && heartbeat && heartbeat->machine == sent.machine)
+  if (is_acknowledged && heartbeat && heartbeat->machine == sent.machine)
     on_acknowledged(*worker, done.status, *heartbeat);
   else
     on_not_acknowledged(*worker, sent, done.refused);
@@ -108,22 +108,22 @@
 
 void CommandSender::on_acknowledged(Worker& worker, int status,
                                     const wire::WorkerHeartbeat& heartbeat) {
-  const double report = context_.settings.platform.report_s;
-  if (status == kConflict) worker.next_command_at = context_.now.steady + report / kRefusedPart;
+  const double heartbeat_interval_s = context_.settings.platform.report_s;
+  if (status == kHttpConflict) worker.next_command_at = context_.now.steady + heartbeat_interval_s / kRefusedDelayDivisor;
   if (heartbeat.fencing_token <= worker.tokens.current) return receiver_.accept(worker, heartbeat);
   // Another controller is entitled to the worker.
   context_.info("agent", "machine {} has token {} above ours {}", worker.name,
                 model::number(heartbeat.fencing_token), model::number(worker.tokens.current));
-  worker.next_command_at = context_.now.steady + report;
+  worker.next_command_at = context_.now.steady + heartbeat_interval_s;
 }
 
-void CommandSender::on_not_acknowledged(Worker& worker, const Sent& sent, bool refused) {
+void CommandSender::on_not_acknowledged(Worker& worker, const InFlightCommand& sent, bool is_connection_refused) {
   worker.next_command_at =
-      context_.now.steady + context_.settings.platform.report_s / kUnansweredPart;
+      context_.now.steady + context_.settings.platform.report_s / kUnansweredDelayDivisor;
   // A refused connection carried nothing.
-  if (!sent.starts_tasks || refused) return;
+  if (!sent.has_starts || is_connection_refused) return;
   WorkerTokens& tokens = worker.tokens;
-  tokens.unacknowledged = std::max(tokens.unacknowledged, sent.token);
+  tokens.highest_unacknowledged = std::max(tokens.highest_unacknowledged, sent.token);
   tokens.current = std::max(tokens.current, model::next(sent.token));
   context_.debug("agent", "machine {}: command unacknowledged, token now {}", worker.name,
                  model::number(tokens.current));
--- a/src/rooksill/agent/command_sender.h
+++ b/src/rooksill/agent/command_sender.h
@@ -38,20 +38,20 @@
 
  private:
   // What is kept of a command while it is under way.
-  struct Sent {
+  struct InFlightCommand {
     std::string machine;
     model::FencingToken token;
-    bool starts_tasks;
+    bool has_starts;
   };
 
-  void handle_changed(Worker& worker);
-  bool may_send(const Worker& worker) const;
-  bool may_start_tasks() const;
-  void hold_back_starts(Worker& worker, std::vector<wire::WorkerCommand>& commands);
+  void process_changed(Worker& worker);
+  bool can_send_to(const Worker& worker) const;
+  bool can_start_tasks() const;
+  void defer_starts(Worker& worker, std::vector<wire::WorkerCommand>& commands);
   void send(Worker& worker, const std::vector<wire::WorkerCommand>& commands);
-  void on_done(const Sent& sent, const runtime::CallDone& done);
+  void on_call_done(const InFlightCommand& sent, const runtime::CallDone& done);
   void on_acknowledged(Worker& worker, int status, const wire::WorkerHeartbeat& heartbeat);
-  void on_not_acknowledged(Worker& worker, const Sent& sent, bool refused);
+  void on_not_acknowledged(Worker& worker, const InFlightCommand& sent, bool is_connection_refused);
 
   runtime::Context& context_;
   const store::Replica& replica_;
@@ -59,7 +59,7 @@
   HeartbeatReceiver& receiver_;
   Reconciler& reconciler_;
   const RenewalPermit& renewal_permit_;
-  int in_flight_ = 0;
+  int commands_in_flight_ = 0;
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -12,12 +12,12 @@
 namespace {
 // Lease durations without a report after which a worker is mute, though it answers probes. Replicas
 // are started again in place within moments of each lease's end, so those may stay for longer.
-constexpr double kMuteLeases = 0.6;
-constexpr double kMuteReplicaLeases = 2.2;
-constexpr int kFailedProbes = 2;          // in a row that make a worker unreachable
-constexpr double kProbesPerReport = 10;   // at most, to one worker
-constexpr double kProbeTimeout = 0.25;    // in report intervals, as the next
-constexpr double kNoAddressPatience = 2;  // after which a worker without an address has failed
+constexpr double kNoHeartbeatTimeoutLeases = 0.6;
+constexpr double kNoHeartbeatReplicaTimeoutLeases = 2.2;
+constexpr int kMaxFailedProbes = 2;          // in a row that make a worker unreachable
+constexpr double kMaxProbesPerHeartbeat = 10;   // at most, to one worker
+constexpr double kProbeTimeoutHeartbeats = 0.25;    // in report intervals, as the next
+constexpr double kNoAddressTimeoutHeartbeats = 2;  // after which a worker without an address has failed
 }  // namespace
 
 FailureDetector::FailureDetector(runtime::Context& context, const store::Replica& replica,
@@ -31,103 +31,103 @@
 
 void FailureDetector::check() {
   // Where most workers are mute, it is this controller that their reports do not reach.
-  const bool mute_is_silent = few_are_mute();
-  SelfCheck::Tally tally;
+  const bool are_stopped_unreachable = do_most_send_heartbeats();
+  SelfCheck::ResponseCounts counts;
   for (auto& [name, worker] : workers_) {
-    probe(worker);
-    const bool late = unanswered(worker);
-    if (expected(worker)) ++tally.expected;
-    if (late) ++tally.unanswered;
-    set_silent(worker, (late && patience_is_over(worker)) || (mute_is_silent && is_mute(worker)));
+    probe_if_due(worker);
+    const bool unresponsive = is_unresponsive(worker);
+    if (is_response_expected(worker)) ++counts.expected;
+    if (unresponsive) ++counts.unresponsive;
+    set_unreachable(worker, (unresponsive && is_timeout_exceeded(worker)) || (are_stopped_unreachable && has_stopped_heartbeats(worker)));
   }
-  const auto verdict = self_check_.update(tally, zones_.all_unreachable());
+  const auto verdict = self_check_.update(counts, zones_.is_every_zone_unreachable());
   if (verdict == SelfCheck::Verdict::kReconnected) zones_.clear();
-  zones_.judge_samples();
+  zones_.evaluate_samples();
 }
 
 // A machine that answers and sends no reports cannot reach the controllers: its lease runs out
 // again and again, and with it all its work.
-bool FailureDetector::is_mute(const Worker& worker) const {
+bool FailureDetector::has_stopped_heartbeats(const Worker& worker) const {
   const bool has_replicas = replica_.load(worker.name).replica_cpus > 0;
-  const double leases = has_replicas ? kMuteReplicaLeases : kMuteLeases;
-  const double since =
-      std::max({worker.contact.last_report, worker.contact.recovered_at, context_.resumed_at});
-  return worker.reported &&
-         context_.now.steady - since > leases * context_.settings.platform.lease_s;
+  const double timeout_leases = has_replicas ? kNoHeartbeatReplicaTimeoutLeases : kNoHeartbeatTimeoutLeases;
+  const double last_activity_at =
+      std::max({worker.contact.last_periodic_heartbeat_at, worker.contact.recovered_at, context_.resumed_at});
+  return worker.has_reported &&
+         context_.now.steady - last_activity_at > timeout_leases * context_.settings.platform.lease_s;
 }
 
-bool FailureDetector::few_are_mute() const {
-  const auto mute = std::count_if(workers_.begin(), workers_.end(),
-                                  [this](const auto& entry) { return is_mute(entry.second); });
-  return static_cast<size_t>(mute) * 2 <= workers_.size();
+bool FailureDetector::do_most_send_heartbeats() const {
+  const auto stopped_count = std::count_if(workers_.begin(), workers_.end(),
+                                  [this](const auto& entry) { return has_stopped_heartbeats(entry.second); });
+  return static_cast<size_t>(stopped_count) * 2 <= workers_.size();
 }
 
-bool FailureDetector::expected(const Worker& worker) const {
-  return worker.reported || !replica_.placed_on(worker.name).empty();
+bool FailureDetector::is_response_expected(const Worker& worker) const {
+  return worker.has_reported || !replica_.placed_on(worker.name).empty();
 }
 
-bool FailureDetector::unanswered(const Worker& worker) const {
-  return expected(worker) && worker.probe.failed &&
-         seconds_silent(worker, context_) > kProbeReports * context_.settings.platform.report_s;
+bool FailureDetector::is_unresponsive(const Worker& worker) const {
+  return is_response_expected(worker) && worker.probe.has_failed &&
+         seconds_since_contact(worker, context_) > kProbeAfterHeartbeats * context_.settings.platform.report_s;
 }
 
 // A machine that the cloud is about to take back need not be waited for.
-bool FailureDetector::patience_is_over(const Worker& worker) const {
-  return seconds_silent(worker, context_) > silence_limit() || worker.terminates_at;
+bool FailureDetector::is_timeout_exceeded(const Worker& worker) const {
+  return seconds_since_contact(worker, context_) > unreachable_timeout_s() || worker.terminates_at;
 }
 
-void FailureDetector::set_silent(Worker& worker, bool silent) {
-  if (silent == worker.silent) return;
-  worker.silent = silent;
-  worker.status_changed = true;
+void FailureDetector::set_unreachable(Worker& worker, bool is_unreachable) {
+  if (is_unreachable == worker.is_unreachable) return;
+  worker.is_unreachable = is_unreachable;
+  worker.has_status_change = true;
 }
 
-double FailureDetector::silence_limit() const {
+double FailureDetector::unreachable_timeout_s() const {
   return context_.settings.operators.machine_silence_reports * context_.settings.platform.report_s;
 }
 
 void FailureDetector::record_contact(Worker& worker) {
   // A machine that was out of reach needs a while to find its controller again.
-  if (seconds_silent(worker, context_) > silence_limit())
+  if (seconds_since_contact(worker, context_) > unreachable_timeout_s())
     worker.contact.recovered_at = context_.now.steady;
-  worker.contact.last_heard = context_.now.steady;
+  worker.contact.last_contact_at = context_.now.steady;
   worker.probe.clear_failures();
-  self_check_.record_answer();
+  self_check_.record_response();
 }
 
 // ---- probes --------------------------------------------------------------------------------
 
-void FailureDetector::probe(Worker& worker) {
-  if (!probe_due(worker)) return worker.probe.clear_failures();
-  const double report = context_.settings.platform.report_s;
-  if (worker.address.empty() && seconds_silent(worker, context_) > kNoAddressPatience * report)
-    worker.probe.failed = true;
-  if (worker.probe.in_flight || worker.address.empty()) return;
-  if (context_.now.steady < worker.probe.next_at) return;
+void FailureDetector::probe_if_due(Worker& worker) {
+  if (!is_probe_due(worker)) return worker.probe.clear_failures();
+  const double heartbeat_interval_s = context_.settings.platform.report_s;
+  if (worker.address.empty() && seconds_since_contact(worker, context_) > kNoAddressTimeoutHeartbeats * heartbeat_interval_s)
+    worker.probe.has_failed = true;
+  if (worker.probe.is_in_flight || worker.address.empty()) return;
+  if (context_.now.steady < worker.probe.next_probe_at) return;
   // Hundreds may be late at once, after a cut or a pause: they are probed in turn.
   if (probes_in_flight_ >= runtime::kProbeSockets * context_.settings.platform.max_sockets) return;
   send_probe(worker);
 }
 
-bool FailureDetector::probe_due(const Worker& worker) const {
-  const double report = context_.settings.platform.report_s;
-  return seconds_silent(worker, context_) >= kProbeReports * report || lease_ran_out(worker);
+bool FailureDetector::is_probe_due(const Worker& worker) const {
+  const double heartbeat_interval_s = context_.settings.platform.report_s;
+  return seconds_since_contact(worker, context_) >= kProbeAfterHeartbeats * heartbeat_interval_s || has_lease_expired(worker);
 }
 
 // Such a worker is probed at once: its tasks are to be started again.
-bool FailureDetector::lease_ran_out(const Worker& worker) const {
+bool FailureDetector::has_lease_expired(const Worker& worker) const {
   const WorkerContact& contact = worker.contact;
-  return worker.reported && context_.now.steady > contact.lease_ends_at &&
-         contact.last_heard < contact.lease_ends_at;
+  return worker.has_reported && context_.now.steady > contact.lease_expires_at &&
+         contact.last_contact_at < contact.lease_expires_at;
 }
 
 void FailureDetector::send_probe(Worker& worker) {
-  const double report = context_.settings.platform.report_s;
+  const double heartbeat_interval_s = context_.settings.platform.report_s;
   ++probes_in_flight_;
-  worker.probe.in_flight = true;
-  worker.probe.next_at = context_.now.steady + report / kProbesPerReport;
+  worker.probe.is_in_flight = true;
+  worker.probe.next_probe_at = context_.now.steady + heartbeat_interval_s / kMaxProbesPerHeartbeat;
   context_.call(
-      runtime::Target::kWorker, worker.address, "GET", "/inspect", "", report * kProbeTimeout,
+      runtime::Target::kWorker, worker.address, "GET", "/inspect", "", heartbeat_interval_s * kProbeTimeoutHeartbeats,
       [this, name = worker.name](const runtime::CallDone& done) { on_probe_done(name, done); });
 }
 
@@ -135,19 +135,19 @@
   --probes_in_flight_;
   Worker* worker = workers_.find(name);
   if (worker == nullptr) return;
-  worker->probe.in_flight = false;
+  worker->probe.is_in_flight = false;
   const auto heartbeat = wire::parse_heartbeat(done.body);
-  const bool answered = done.status == 200 && heartbeat;
-  if (answered && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
-  worker->probe.failed = ++worker->probe.failures >= kFailedProbes;
-  if (const model::Machine* machine = replica_.machine(name)) zones_.sample(machine->zone);
+  const bool is_answered = done.status == 200 && heartbeat;
+  if (is_answered && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
+  worker->probe.has_failed = ++worker->probe.consecutive_failures >= kMaxFailedProbes;
+  if (const model::Machine* machine = replica_.machine(name)) zones_.probe_sample(machine->zone);
 }
 
-std::vector<std::string> FailureDetector::silent_machines() const {
+std::vector<std::string> FailureDetector::unreachable_machines() const {
   std::vector<std::string> out;
-  const size_t most = context_.settings.platform.state_value_bytes / model::kItemBytes / 2;
+  const size_t max_count = context_.settings.platform.state_value_bytes / model::kItemBytes / 2;
   for (const auto& [name, worker] : workers_)
-    if (worker.silent && out.size() < most) out.push_back(name);
+    if (worker.is_unreachable && out.size() < max_count) out.push_back(name);
   return out;
 }
 
--- a/src/rooksill/agent/failure_detector.h
+++ b/src/rooksill/agent/failure_detector.h
@@ -30,29 +30,29 @@
   // A worker was heard.
   void record_contact(Worker& worker);
 
-  bool suspects_itself() const { return self_check_.suspect(); }
+  bool is_likely_isolated() const { return self_check_.is_likely_isolated(); }
   // As many as fit in a value of the store.
-  std::vector<std::string> silent_machines() const;
+  std::vector<std::string> unreachable_machines() const;
   std::vector<std::string> unreachable_zones() const { return zones_.unreachable_zones(); }
 
  private:
   // Machines that answer probes but send no reports.
-  bool is_mute(const Worker& worker) const;
-  bool few_are_mute() const;
+  bool has_stopped_heartbeats(const Worker& worker) const;
+  bool do_most_send_heartbeats() const;
   // Whether the worker should be heard at all.
-  bool expected(const Worker& worker) const;
-  bool unanswered(const Worker& worker) const;
-  bool patience_is_over(const Worker& worker) const;
-  void set_silent(Worker& worker, bool silent);
+  bool is_response_expected(const Worker& worker) const;
+  bool is_unresponsive(const Worker& worker) const;
+  bool is_timeout_exceeded(const Worker& worker) const;
+  void set_unreachable(Worker& worker, bool is_unreachable);
 
-  void probe(Worker& worker);
-  bool probe_due(const Worker& worker) const;
-  bool lease_ran_out(const Worker& worker) const;
+  void probe_if_due(Worker& worker);
+  bool is_probe_due(const Worker& worker) const;
+  bool has_lease_expired(const Worker& worker) const;
   void send_probe(Worker& worker);
   void on_probe_done(const std::string& name, const runtime::CallDone& done);
 
   // Seconds that the operators let a machine be silent.
-  double silence_limit() const;
+  double unreachable_timeout_s() const;
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/gang_attempts.cc
+++ b/src/rooksill/agent/gang_attempts.cc
@@ -6,23 +6,23 @@
 // Calls `visit` for each task until it returns false.
 template <typename Visit>
 bool for_each_task(const model::Job& job, Visit visit) {
-  for (uint32_t s = 0; s < job.shards.size(); ++s) {
-    const model::TaskShard& shard = job.shards[s];
-    for (uint32_t i = 0; i < shard.tasks.size(); ++i)
-      if (!visit(shard, model::TaskRef{job.spec.id, s * job.tasks_per_shard + i}, shard.tasks[i]))
+  for (uint32_t shard_index = 0; shard_index < job.shards.size(); ++shard_index) {
+    const model::TaskShard& shard = job.shards[shard_index];
+    for (uint32_t task_index = 0; task_index < shard.tasks.size(); ++task_index)
+      if (!visit(shard, model::TaskRef{job.spec.id, shard_index * job.tasks_per_shard + task_index}, shard.tasks[task_index]))
         return false;
   }
   return true;
 }
 }  // namespace
 
-bool GangAttempts::broken(const model::Job& job) const {
+bool GangAttempts::has_lost_task(const model::Job& job) const {
   return !for_each_task(
       job, [this](const model::TaskShard& shard, const model::TaskRef& ref,
-                  const model::TaskState& task) { return task.done || !gone(shard, ref, task); });
+                  const model::TaskState& task) { return task.done || !is_lost(shard, ref, task); });
 }
 
-bool GangAttempts::gone(const model::TaskShard& shard, const model::TaskRef& ref,
+bool GangAttempts::is_lost(const model::TaskShard& shard, const model::TaskRef& ref,
                         const model::TaskState& task) const {
   if (task.machine.empty()) return true;
   if (replica_.machine_gone(task.machine) && replica_.lists_cover(shard)) return true;
@@ -30,7 +30,7 @@
   return change != nullptr && change->kind == changes::TaskChange::Kind::kLost;
 }
 
-void GangAttempts::stop(const model::Job& job) {
+void GangAttempts::evict_all(const model::Job& job) {
   for_each_task(job, [this](const model::TaskShard&, const model::TaskRef& ref,
                             const model::TaskState& task) {
     Worker* worker = task.machine.empty() ? nullptr : workers_.find(task.machine);
--- a/src/rooksill/agent/gang_attempts.h
+++ b/src/rooksill/agent/gang_attempts.h
@@ -19,13 +19,13 @@
       : replica_(replica), changes_(changes), workers_(workers), evicted_(evicted) {}
 
   // Whether a task of the attempt that the store has is gone, or known here to be.
-  bool broken(const model::Job& job) const;
+  bool has_lost_task(const model::Job& job) const;
   // Evicts all of the attempt's tasks on this controller's workers at once: those that are stopped
   // later than `gang_peer_s` after the first save nothing.
-  void stop(const model::Job& job);
+  void evict_all(const model::Job& job);
 
  private:
-  bool gone(const model::TaskShard& shard, const model::TaskRef& ref,
+  bool is_lost(const model::TaskShard& shard, const model::TaskRef& ref,
             const model::TaskState& task) const;
 
   const store::Replica& replica_;
--- a/src/rooksill/agent/heartbeat_endpoint.h
+++ b/src/rooksill/agent/heartbeat_endpoint.h
@@ -38,16 +38,16 @@
 
   void handle(uint64_t request, const std::string& body);
   // The last worker that reported without being in any partition, once.
-  std::optional<wire::UnassignedMachine> take_unassigned_machine();
+  std::optional<wire::UnassignedMachine> extract_unassigned_machine();
 
  private:
-  void answer_unassigned(uint64_t request, const wire::WorkerHeartbeat& heartbeat);
-  void answer_for_other_owner(uint64_t request, int partition);
-  void answer(uint64_t request, Worker& worker, const wire::WorkerHeartbeat& heartbeat);
-  void take_report(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
-  void try_again_later(uint64_t request) { context_.reply(request, 503, "{}", kRetryAfter); }
+  void reply_to_unassigned(uint64_t request, const wire::WorkerHeartbeat& heartbeat);
+  void redirect_to_owner(uint64_t request, int partition);
+  void reply_with_commands(uint64_t request, Worker& worker, const wire::WorkerHeartbeat& heartbeat);
+  void accept_periodic_heartbeat(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
+  void reply_retry_later(uint64_t request) { context_.reply(request, 503, "{}", kRetryAfterSeconds); }
 
-  static constexpr double kRetryAfter = 1;  // s
+  static constexpr double kRetryAfterSeconds = 1;  // s
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/heartbeat_receiver.cc
+++ b/src/rooksill/agent/heartbeat_receiver.cc
@@ -6,7 +6,7 @@
 
 namespace {
 // A task that has its image.
-bool image_in_use(const wire::ReportedTask& task) {
+bool is_image_in_use(const wire::ReportedTask& task) {
   return task.phase == wire::TaskPhase::kRunning || task.phase == wire::TaskPhase::kWaitingForGang;
 }
 }  // namespace
@@ -22,18 +22,18 @@
 
 void HeartbeatReceiver::accept(Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
   const HeartbeatVersion version = version_of(heartbeat);
-  if (worker.reported && version <= worker.version) return;
-  if (!worker.reported || version.agent_epoch != worker.version.agent_epoch)
+  if (worker.has_reported && version <= worker.version) return;
+  if (!worker.has_reported || version.agent_epoch != worker.version.agent_epoch)
     context_.info("agent", "machine {} reports: agent epoch {} token {} tasks {}", worker.name,
                   version.agent_epoch, model::number(heartbeat.fencing_token),
                   heartbeat.tasks.size());
-  worker.reported = true;
+  worker.has_reported = true;
   worker.version = version;
-  worker.tokens.seen = heartbeat.fencing_token;
+  worker.tokens.last_reported = heartbeat.fencing_token;
   failure_detector_.record_contact(worker);
   worker.tasks = heartbeat.tasks;
   record_termination_notice(worker, heartbeat);
-  record_images(worker);
+  update_image_cache(worker);
   workers_.mark_changed(worker);
   on_accepted_();
 }
@@ -46,9 +46,9 @@
                 *heartbeat.termination_notice_s);
 }
 
-void HeartbeatReceiver::record_images(Worker& worker) {
+void HeartbeatReceiver::update_image_cache(Worker& worker) {
   for (const auto& task : worker.tasks) {
-    const model::Job* job = image_in_use(task) ? replica_.job(task.task.job) : nullptr;
+    const model::Job* job = is_image_in_use(task) ? replica_.job(task.task.job) : nullptr;
     if (job != nullptr) worker.images.touch(job->image, job->spec.image_gb);
   }
   const model::Machine* machine = replica_.machine(worker.name);
--- a/src/rooksill/agent/heartbeat_receiver.h
+++ b/src/rooksill/agent/heartbeat_receiver.h
@@ -23,7 +23,7 @@
 
  private:
   void record_termination_notice(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
-  void record_images(Worker& worker);
+  void update_image_cache(Worker& worker);
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/image_cache.cc
+++ b/src/rooksill/agent/image_cache.cc
@@ -17,12 +17,12 @@
     return;
   }
   entries_.push_front({image, size_gb});
-  size_gb_ += size_gb;
+  total_size_gb_ += size_gb;
 }
 
 void ImageCache::shrink_to(double capacity_gb) {
-  while (size_gb_ > capacity_gb && !entries_.empty()) {
-    size_gb_ -= entries_.back().size_gb;
+  while (total_size_gb_ > capacity_gb && !entries_.empty()) {
+    total_size_gb_ -= entries_.back().size_gb;
     entries_.pop_back();
   }
 }
--- a/src/rooksill/agent/image_cache.h
+++ b/src/rooksill/agent/image_cache.h
@@ -24,7 +24,7 @@
 
  private:
   std::list<Entry> entries_;
-  double size_gb_ = 0;
+  double total_size_gb_ = 0;
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/job_backoff.cc
+++ b/src/rooksill/agent/job_backoff.cc
@@ -5,13 +5,13 @@
 namespace rooksill::agent {
 
 namespace {
-constexpr int kSuspectMachines = 3;  // machines that a job must fail on to be the cause itself
+constexpr int kJobFaultMachines = 3;  // machines that a job must fail on to be the cause itself
 // As many failures, seen by whichever controllers, as make the job the cause as well.
-constexpr uint64_t kSuspectAttempts = 6;
-constexpr uint64_t kMostAttempts = 1000;  // that are counted
+constexpr uint64_t kJobFaultAttempts = 6;
+constexpr uint64_t kMaxCountedAttempts = 1000;  // that are counted
 // In report intervals.
-constexpr double kDelayPerFailure = 0.5;
-constexpr double kLongestDelay = 10;
+constexpr double kDelayPerFailureHeartbeats = 0.5;
+constexpr double kMaxDelayHeartbeats = 10;
 }  // namespace
 
 JobBackoff::Cause JobBackoff::record_failure(const std::string& job, const std::string& machine,
@@ -19,23 +19,23 @@
   Failures& failures = failures_[job];
   failures.machines.insert(machine);
   // The store counts attempts: they show what failed under other owners.
-  failures.count = std::max(failures.count + 1, static_cast<int>(std::min(attempt, kMostAttempts)));
-  if (failures.machines.size() < kSuspectMachines && attempt < kSuspectAttempts)
+  failures.count = std::max(failures.count + 1, static_cast<int>(std::min(attempt, kMaxCountedAttempts)));
+  if (failures.machines.size() < kJobFaultMachines && attempt < kJobFaultAttempts)
     return Cause::kMachine;
-  const double delay = std::min(kLongestDelay, kDelayPerFailure * failures.count) *
+  const double delay_s = std::min(kMaxDelayHeartbeats, kDelayPerFailureHeartbeats * failures.count) *
                        context_.settings.platform.report_s;
-  failures.retry_at = context_.now.steady + delay;
+  failures.retry_at = context_.now.steady + delay_s;
   context_.info("agent", "job {} failed on {} machines: next try in {:.1f} s", job,
-                failures.machines.size(), delay);
+                failures.machines.size(), delay_s);
   return Cause::kJob;
 }
 
-bool JobBackoff::backing_off(const std::string& job) const {
+bool JobBackoff::is_backing_off(const std::string& job) const {
   auto found = failures_.find(job);
   return found != failures_.end() && found->second.retry_at > context_.now.steady;
 }
 
-bool JobBackoff::failed_on(const std::string& job, const std::string& machine) const {
+bool JobBackoff::has_failed_on(const std::string& job, const std::string& machine) const {
   auto found = failures_.find(job);
   return found != failures_.end() && found->second.machines.count(machine) != 0;
 }
--- a/src/rooksill/agent/job_backoff.h
+++ b/src/rooksill/agent/job_backoff.h
@@ -21,8 +21,8 @@
   // An attempt of one of the job's tasks ended with an error on the machine.
   Cause record_failure(const std::string& job, const std::string& machine, uint64_t attempt);
   // Whether the job's tasks are not to be placed for now.
-  bool backing_off(const std::string& job) const;
-  bool failed_on(const std::string& job, const std::string& machine) const;
+  bool is_backing_off(const std::string& job) const;
+  bool has_failed_on(const std::string& job, const std::string& machine) const;
 
  private:
   struct Failures {
--- a/src/rooksill/agent/reconciler.cc
+++ b/src/rooksill/agent/reconciler.cc
@@ -11,17 +11,17 @@
 using changes::TaskChange;
 using wire::WorkerCommand;
 
-constexpr int kFaultyFailures = 3;       // in a row that make a machine faulty
-constexpr size_t kFaultyFailedJobs = 2;  // of which they have to be tasks
+constexpr int kFaultyConsecutiveFailures = 3;       // in a row that make a machine faulty
+constexpr size_t kFaultyDistinctJobs = 2;  // of which they have to be tasks
 // Start times are pruned once there are so many for each task, with some to spare.
 constexpr size_t kStartTimesPerTask = 4, kSpareTasks = 16;
 
-WorkerCommand stop(const wire::ReportedTask& task, double grace_s) {
+WorkerCommand make_stop_command(const wire::ReportedTask& task, double grace_s) {
   return {WorkerCommand::Op::kStop, task.task, task.attempt, grace_s};
 }
 
 // Exits that say nothing of the machine: the task was told to stop, or its gang ended it.
-bool stopped_on_purpose(wire::ExitCause cause) {
+bool is_intentional_exit(wire::ExitCause cause) {
   return cause == wire::ExitCause::kStopped || cause == wire::ExitCause::kGangMemberLost ||
          cause == wire::ExitCause::kGangIncomplete;
 }
@@ -46,14 +46,14 @@
 
 std::vector<WorkerCommand> Reconciler::reconcile(Worker& worker) {
   std::vector<WorkerCommand> commands;
-  if (!worker.reported || !owned_.owns(worker.partition)) return commands;
+  if (!worker.has_reported || !owned_.owns(worker.partition)) return commands;
   const auto append = [&commands](OptionalCommand command) {
     if (command) commands.push_back(std::move(*command));
   };
   std::set<model::TaskRef> matched;
   for (const auto& reported : worker.tasks) {
-    if (!placed_here(worker, reported)) {
-      append(reconcile_stray(worker, reported));
+    if (!is_placed_on(worker, reported)) {
+      append(reconcile_unexpected(worker, reported));
       continue;
     }
     matched.insert(reported.task);
@@ -68,17 +68,17 @@
   return commands;
 }
 
-bool Reconciler::placed_here(const Worker& worker, const wire::ReportedTask& reported) const {
+bool Reconciler::is_placed_on(const Worker& worker, const wire::ReportedTask& reported) const {
   const model::TaskState* task = replica_.task(reported.task);
   return task != nullptr && !task->done && task->machine == worker.name &&
          task->attempt == reported.attempt;
 }
 
 // A task that should not be there.
-Reconciler::OptionalCommand Reconciler::reconcile_stray(const Worker& worker,
+Reconciler::OptionalCommand Reconciler::reconcile_unexpected(const Worker& worker,
                                                         const wire::ReportedTask& reported) const {
-  if (reported.phase != wire::TaskPhase::kExited) return stop(reported, 0);
-  if (!worker.tokens.earlier_commands_fenced()) return std::nullopt;
+  if (reported.phase != wire::TaskPhase::kExited) return make_stop_command(reported, 0);
+  if (!worker.tokens.are_earlier_commands_fenced()) return std::nullopt;
   return WorkerCommand{WorkerCommand::Op::kRemove, reported.task, reported.attempt, 0};
 }
 
@@ -96,10 +96,10 @@
 
 void Reconciler::reconcile_exited(Worker& worker, const wire::ReportedTask& reported) {
   if (reported.cause == wire::ExitCause::kDone) {
-    worker.failures.consecutive = 0;
-    worker.failures.jobs.clear();
+    worker.failures.consecutive_failures = 0;
+    worker.failures.failed_jobs.clear();
     changes_.add(reported.task, TaskChange::done(worker.name, worker.partition, reported.attempt));
-  } else if (worker.tokens.earlier_commands_fenced()) {
+  } else if (worker.tokens.are_earlier_commands_fenced()) {
     record_loss(worker, reported);
   }
 }
@@ -107,18 +107,18 @@
 Reconciler::OptionalCommand Reconciler::stop_if_needed(const Worker& worker,
                                                        const wire::ReportedTask& reported,
                                                        const model::Job& job) {
-  if (job.over()) return stop(reported, 0);
+  if (job.over()) return make_stop_command(reported, 0);
   if (reported.phase == wire::TaskPhase::kSaving) return std::nullopt;
-  if (evicted_.contains(reported.task, reported.attempt)) return stop(reported, job.spec.save_s);
+  if (evicted_.contains(reported.task, reported.attempt)) return make_stop_command(reported, job.spec.save_s);
   const bool gang = job.spec.shape == model::Shape::kGang;
   // Without one of them the others cannot go on, and those that wait for one another to start would
   // wait in vain. The next attempt needs all of them gone.
-  if (gang && gangs_.broken(job)) return stop(reported, 0);
+  if (gang && gangs_.has_lost_task(job)) return make_stop_command(reported, 0);
   // What is not likely to complete before the machine is taken starts elsewhere at once, instead of
   // when the machine has gone.
-  if (!worker.terminates_at || ends_in_time(worker, reported, job.spec)) return std::nullopt;
-  if (gang) gangs_.stop(job);
-  return stop(reported, job.spec.save_s);
+  if (!worker.terminates_at || can_complete_in_time(worker, reported, job.spec)) return std::nullopt;
+  if (gang) gangs_.evict_all(job);
+  return make_stop_command(reported, job.spec.save_s);
 }
 
 // A task that the store has on a worker, and the worker does not report. What was never started
@@ -128,9 +128,9 @@
 Reconciler::OptionalCommand Reconciler::reconcile_unreported(Worker& worker,
                                                              const model::TaskRef& ref) {
   const uint64_t attempt = replica_.task(ref)->attempt;
-  if (may_restart(worker, ref, *replica_.job(ref.job)))
+  if (can_restart(worker, ref, *replica_.job(ref.job)))
     return WorkerCommand{WorkerCommand::Op::kStart, ref, attempt, 0};
-  if (!worker.tokens.earlier_commands_fenced()) return std::nullopt;
+  if (!worker.tokens.are_earlier_commands_fenced()) return std::nullopt;
   worker.running_since.erase(ref);
   changes_.add(ref, TaskChange::lost(worker.name, worker.partition, attempt));
   return std::nullopt;
@@ -139,24 +139,24 @@
 // Not on a machine that is to go, nor where the team's share has been given to others since the
 // task ended there unwritten. Nor can a gang's task come back to an attempt that has run, or that
 // has lost another task.
-bool Reconciler::may_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job) {
-  if (job.over() || worker.terminates_at || worker.failures.faulty) return false;
-  if (workers_.draining(worker.name)) return false;
+bool Reconciler::can_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job) {
+  if (job.over() || worker.terminates_at || worker.failures.is_faulty) return false;
+  if (workers_.is_draining(worker.name)) return false;
   if (job.spec.shape == model::Shape::kGang &&
-      (worker.running_since.count(ref) != 0 || gangs_.broken(job)))
+      (worker.running_since.count(ref) != 0 || gangs_.has_lost_task(job)))
     return false;
   return !exceeds_quota_(job.spec.team, worker);
 }
 
 // Whether a task is likely to complete before the machine is taken.
-bool Reconciler::ends_in_time(const Worker& worker, const wire::ReportedTask& reported,
+bool Reconciler::can_complete_in_time(const Worker& worker, const wire::ReportedTask& reported,
                               const model::JobSpec& spec) const {
   if (spec.shape == model::Shape::kService) return false;
-  const double left = *worker.terminates_at - context_.now.steady - spec.save_s;
-  if (reported.phase != wire::TaskPhase::kRunning) return spec.estimate_s < left;
+  const double time_left_s = *worker.terminates_at - context_.now.steady - spec.save_s;
+  if (reported.phase != wire::TaskPhase::kRunning) return spec.estimate_s < time_left_s;
   auto since = worker.running_since.find(reported.task);
-  const double ran = since == worker.running_since.end() ? 0 : context_.now.steady - since->second;
-  return spec.estimate_s - ran < left;
+  const double elapsed_s = since == worker.running_since.end() ? 0 : context_.now.steady - since->second;
+  return spec.estimate_s - elapsed_s < time_left_s;
 }
 
 // ---- losses and failures -------------------------------------------------------------------
@@ -167,7 +167,7 @@
                  static_cast<int>(reported.cause));
   if (reported.cause == wire::ExitCause::kError)
     record_failure(worker, reported.task.job, reported.attempt);
-  else if (!stopped_on_purpose(reported.cause))
+  else if (!is_intentional_exit(reported.cause))
     worker.failures.avoid_until = context_.now.steady + context_.settings.platform.report_s / 3;
   worker.running_since.erase(reported.task);
   changes_.add(reported.task, TaskChange::lost(worker.name, worker.partition, reported.attempt));
@@ -177,24 +177,24 @@
 // backs off by itself and is not held against them.
 void Reconciler::record_failure(Worker& worker, const std::string& job, uint64_t attempt) {
   if (backoff_.record_failure(job, worker.name, attempt) == JobBackoff::Cause::kJob)
-    return forgive(job);
+    return retract_failures(job);
   FailureRecord& failures = worker.failures;
-  ++failures.consecutive;
-  failures.jobs.insert(job);
+  ++failures.consecutive_failures;
+  failures.failed_jobs.insert(job);
   failures.avoid_until =
-      context_.now.steady + context_.settings.platform.report_s * failures.consecutive;
-  if (failures.faulty || failures.consecutive < kFaultyFailures ||
-      failures.jobs.size() < kFaultyFailedJobs)
+      context_.now.steady + context_.settings.platform.report_s * failures.consecutive_failures;
+  if (failures.is_faulty || failures.consecutive_failures < kFaultyConsecutiveFailures ||
+      failures.failed_jobs.size() < kFaultyDistinctJobs)
     return;
-  failures.faulty = true;
+  failures.is_faulty = true;
   context_.info("agent", "machine {} fails task after task: to be returned", worker.name);
 }
 
 // Takes the job's failures back from all machines.
-void Reconciler::forgive(const std::string& job) {
+void Reconciler::retract_failures(const std::string& job) {
   for (auto& [name, worker] : workers_)
-    if (worker.failures.jobs.erase(job) != 0)
-      worker.failures.consecutive = std::max(0, worker.failures.consecutive - 1);
+    if (worker.failures.failed_jobs.erase(job) != 0)
+      worker.failures.consecutive_failures = std::max(0, worker.failures.consecutive_failures - 1);
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/reconciler.h
+++ b/src/rooksill/agent/reconciler.h
@@ -51,21 +51,21 @@
   using OptionalCommand = std::optional<wire::WorkerCommand>;
 
   // Whether the store has the reported attempt on this worker.
-  bool placed_here(const Worker& worker, const wire::ReportedTask& reported) const;
-  OptionalCommand reconcile_stray(const Worker& worker, const wire::ReportedTask& reported) const;
+  bool is_placed_on(const Worker& worker, const wire::ReportedTask& reported) const;
+  OptionalCommand reconcile_unexpected(const Worker& worker, const wire::ReportedTask& reported) const;
   OptionalCommand reconcile_reported(Worker& worker, const wire::ReportedTask& reported);
   void reconcile_exited(Worker& worker, const wire::ReportedTask& reported);
   OptionalCommand reconcile_unreported(Worker& worker, const model::TaskRef& ref);
 
   OptionalCommand stop_if_needed(const Worker& worker, const wire::ReportedTask& reported,
                                  const model::Job& job);
-  bool may_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job);
-  bool ends_in_time(const Worker& worker, const wire::ReportedTask& reported,
+  bool can_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job);
+  bool can_complete_in_time(const Worker& worker, const wire::ReportedTask& reported,
                     const model::JobSpec& spec) const;
 
   void record_loss(Worker& worker, const wire::ReportedTask& reported);
   void record_failure(Worker& worker, const std::string& job, uint64_t attempt);
-  void forgive(const std::string& job);
+  void retract_failures(const std::string& job);
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/renewal_permit.h
+++ b/src/rooksill/agent/renewal_permit.h
@@ -16,7 +16,7 @@
   RenewalPermit(const runtime::Context& context, const membership::Cancellations& cancellations)
       : context_(context), cancellations_(cancellations) {}
 
-  bool granted() const;
+  bool is_granted() const;
 
  private:
   const runtime::Context& context_;
--- a/src/rooksill/agent/self_check.cc
+++ b/src/rooksill/agent/self_check.cc
@@ -5,45 +5,45 @@
 namespace rooksill::agent {
 
 namespace {
-constexpr int kProbedAtOnce = 3;  // workers of any partition
+constexpr int kWorkersPerProbeRound = 3;  // workers of any partition
 constexpr double kNever = -1e9;
 
 // At least four fifths.
-bool nearly_all(const SelfCheck::Tally& tally) {
-  return tally.unanswered * 10 >= tally.expected * 8;
+bool are_nearly_all_unresponsive(const SelfCheck::ResponseCounts& counts) {
+  return counts.unresponsive * 10 >= counts.expected * 8;
 }
 }  // namespace
 
-SelfCheck::Verdict SelfCheck::update(const Tally& tally, bool all_zones_unreachable) {
-  const bool cut_off = tally.expected >= 2 && (nearly_all(tally) || all_zones_unreachable);
-  if (cut_off && !suspect_) {
-    context_.info("agent", "{} of {} workers silent: suspecting this controller", tally.unanswered,
-                  tally.expected);
-    suspect_ = true;
-    last_answer_ = kNever;
+SelfCheck::Verdict SelfCheck::update(const ResponseCounts& counts, bool all_zones_unreachable) {
+  const bool appears_isolated = counts.expected >= 2 && (are_nearly_all_unresponsive(counts) || all_zones_unreachable);
+  if (appears_isolated && !is_likely_isolated_) {
+    context_.info("agent", "{} of {} workers silent: suspecting this controller", counts.unresponsive,
+                  counts.expected);
+    is_likely_isolated_ = true;
+    last_response_at_ = kNever;
   }
-  if (!suspect_) return Verdict::kConnected;
-  if (!cut_off && context_.now.steady - last_answer_ < context_.settings.platform.report_s) {
+  if (!is_likely_isolated_) return Verdict::kConnected;
+  if (!appears_isolated && context_.now.steady - last_response_at_ < context_.settings.platform.report_s) {
     context_.info("agent", "workers answer: no longer suspecting this controller");
-    suspect_ = false;
+    is_likely_isolated_ = false;
     return Verdict::kReconnected;
   }
-  probe_any_workers();
-  return Verdict::kSuspect;
+  probe_random_workers();
+  return Verdict::kLikelyIsolated;
 }
 
 // Without partitions this controller has no workers of its own: any worker's answer will do.
-void SelfCheck::probe_any_workers() {
+void SelfCheck::probe_random_workers() {
   const auto& addresses = workers_.addresses();
-  if (!workers_.empty() || addresses.empty() || context_.now.steady < next_probe_) return;
-  const double timeout = context_.settings.platform.report_s / 4;
-  next_probe_ = context_.now.steady + timeout;
-  for (int i = 0; i < kProbedAtOnce; ++i) {
+  if (!workers_.empty() || addresses.empty() || context_.now.steady < next_probe_at_) return;
+  const double timeout_s = context_.settings.platform.report_s / 4;
+  next_probe_at_ = context_.now.steady + timeout_s;
+  for (int i = 0; i < kWorkersPerProbeRound; ++i) {
     auto chosen = addresses.begin();
     std::advance(chosen, static_cast<long>(context_.rng() % addresses.size()));
-    context_.call(runtime::Target::kWorker, chosen->second, "GET", "/inspect", "", timeout,
+    context_.call(runtime::Target::kWorker, chosen->second, "GET", "/inspect", "", timeout_s,
                   [this](const runtime::CallDone& done) {
-                    if (done.status == 200) record_answer();
+                    if (done.status == 200) record_response();
                   });
   }
 }
--- a/src/rooksill/agent/self_check.h
+++ b/src/rooksill/agent/self_check.h
@@ -13,32 +13,32 @@
 class SelfCheck {
  public:
   // How many of the workers that should be heard did not answer.
-  struct Tally {
+  struct ResponseCounts {
     size_t expected = 0;
-    size_t unanswered = 0;
+    size_t unresponsive = 0;
   };
   enum class Verdict {
     kConnected,
-    kSuspect,
+    kLikelyIsolated,
     kReconnected,  // suspect until now
   };
 
   SelfCheck(runtime::Context& context, const WorkerTable& workers)
       : context_(context), workers_(workers) {}
 
-  Verdict update(const Tally& tally, bool all_zones_unreachable);
+  Verdict update(const ResponseCounts& counts, bool all_zones_unreachable);
   // Some worker was heard.
-  void record_answer() { last_answer_ = context_.now.steady; }
-  bool suspect() const { return suspect_; }
+  void record_response() { last_response_at_ = context_.now.steady; }
+  bool is_likely_isolated() const { return is_likely_isolated_; }
 
  private:
-  void probe_any_workers();
+  void probe_random_workers();
 
   runtime::Context& context_;
   const WorkerTable& workers_;
-  bool suspect_ = false;
-  double last_answer_ = -1e9;  // steady clock, as below
-  double next_probe_ = 0;
+  bool is_likely_isolated_ = false;
+  double last_response_at_ = -1e9;  // steady clock, as below
+  double next_probe_at_ = 0;
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -23,7 +23,7 @@
 namespace rooksill::agent {
 
 // Silence, in report intervals, after which a worker is probed.
-inline constexpr double kProbeReports = 1.15;
+inline constexpr double kProbeAfterHeartbeats = 1.15;
 
 // The fencing tokens between this controller and a worker.
 struct WorkerTokens {
@@ -31,15 +31,15 @@
   model::FencingToken current = model::kNoFencingToken;
   // The highest token of a direct command that was never acknowledged. Such a command may still be
   // carried out until the worker has seen a higher token.
-  model::FencingToken unacknowledged = model::kNoFencingToken;
+  model::FencingToken highest_unacknowledged = model::kNoFencingToken;
   // Token of the direct command under way.
   model::FencingToken in_flight = model::kNoFencingToken;
   // The highest token that the worker had seen when it last reported.
-  model::FencingToken seen = model::kNoFencingToken;
+  model::FencingToken last_reported = model::kNoFencingToken;
 
-  bool command_in_flight() const { return in_flight != model::kNoFencingToken; }
+  bool has_command_in_flight() const { return in_flight != model::kNoFencingToken; }
   // Whether no earlier command can reach the worker any more.
-  bool earlier_commands_fenced() const { return seen > std::max(unacknowledged, in_flight); }
+  bool are_earlier_commands_fenced() const { return last_reported > std::max(highest_unacknowledged, in_flight); }
 };
 
 // Orders a worker's heartbeats: a late copy of an older one has a lower version.
@@ -56,34 +56,34 @@
 // When a worker was heard.
 struct WorkerContact {
   // Any message of the worker: its own reports, and its answers to probes and commands.
-  double last_heard = 0;
+  double last_contact_at = 0;
   // When it was heard again after a silence.
   double recovered_at = 0;
   // The last report that the worker sent of its own accord. Only an answer to such a report renews
   // the lease of its tasks.
-  double last_report = 0;
+  double last_periodic_heartbeat_at = 0;
   // When the tasks' lease ends at the latest, if no further report is answered.
-  double lease_ends_at = 0;
+  double lease_expires_at = 0;
 };
 
 // Probes are sent to a worker that was not heard for a while.
 struct ProbeState {
-  double next_at = 0;
-  bool in_flight = false;
-  int failures = 0;     // in a row
-  bool failed = false;  // enough of them to take the worker for unreachable
+  double next_probe_at = 0;
+  bool is_in_flight = false;
+  int consecutive_failures = 0;     // in a row
+  bool has_failed = false;  // enough of them to take the worker for unreachable
 
   void clear_failures() {
-    failures = 0;
-    failed = false;
+    consecutive_failures = 0;
+    has_failed = false;
   }
 };
 
 // Failures of tasks that are held against the machine.
 struct FailureRecord {
-  int consecutive = 0;
-  std::set<std::string> jobs;  // those that failed
-  bool faulty = false;         // the machine is to be returned
+  int consecutive_failures = 0;
+  std::set<std::string> failed_jobs;  // those that failed
+  bool is_faulty = false;         // the machine is to be returned
   double avoid_until = 0;      // no task is placed there before
 };
 
@@ -94,14 +94,14 @@
   WorkerTokens tokens;
 
   // What it reported last; nothing is known of its tasks before the first report.
-  bool reported = false;
+  bool has_reported = false;
   HeartbeatVersion version;
   std::vector<wire::ReportedTask> tasks;
   std::optional<double> terminates_at;  // when the cloud takes the machine back, once announced
 
   WorkerContact contact;
   ProbeState probe;
-  bool silent = false;  // out of reach for so long that the machine may be given up
+  bool is_unreachable = false;  // out of reach for so long that the machine may be given up
   FailureRecord failures;
   ImageCache images;
   std::map<model::TaskRef, double> running_since;  // when a task was first reported running
@@ -109,18 +109,18 @@
   double next_command_at = 0;                      // no direct command before
 
   placement::MachineCapacity capacity;
-  bool capacity_stale = true;  // `capacity` has to be computed anew
+  bool is_capacity_stale = true;  // `capacity` has to be computed anew
 
-  bool changed = false;           // in the table's list of workers that changed
-  bool answered_in_full = false;  // its last answer carried every command there was
-  bool status_changed = true;     // since its status was last published
+  bool is_queued_as_changed = false;           // in the table's list of workers that changed
+  bool has_received_all_commands = false;  // its last answer carried every command there was
+  bool has_status_change = true;     // since its status was last published
   wire::MachineStatus published_status;
 };
 
 // Seconds since the worker was last heard. While this process stood still it could hear nobody, so
 // that time is not counted.
-inline double seconds_silent(const Worker& worker, const runtime::Context& context) {
-  return context.now.steady - std::max(worker.contact.last_heard, context.resumed_at);
+inline double seconds_since_contact(const Worker& worker, const runtime::Context& context) {
+  return context.now.steady - std::max(worker.contact.last_contact_at, context.resumed_at);
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -8,7 +8,7 @@
 
 namespace {
 // Turns in which every status and every address is published again.
-constexpr size_t kTurns = 16;
+constexpr size_t kRepublishTurns = 16;
 }  // namespace
 
 Worker* WorkerTable::find(const std::string& name) {
@@ -28,8 +28,8 @@
   worker.partition = partition;
   worker.tokens.current = model::first_worker_token(lease.fencing_token);
   // Any former owner's command may still be under way.
-  worker.tokens.unacknowledged = model::previous(worker.tokens.current);
-  worker.contact.last_heard = worker.contact.last_report = context_.now.steady;
+  worker.tokens.highest_unacknowledged = model::previous(worker.tokens.current);
+  worker.contact.last_contact_at = worker.contact.last_periodic_heartbeat_at = context_.now.steady;
   auto address = addresses_.find(name);
   if (address != addresses_.end()) worker.address = address->second;
   mark_changed(workers_.emplace(name, std::move(worker)).first->second);
@@ -47,21 +47,21 @@
 }
 
 void WorkerTable::mark_changed(Worker& worker) {
-  worker.capacity_stale = worker.status_changed = true;
-  worker.answered_in_full = false;
-  if (!worker.changed) defer(worker);
+  worker.is_capacity_stale = worker.has_status_change = true;
+  worker.has_received_all_commands = false;
+  if (!worker.is_queued_as_changed) defer(worker);
 }
 
 void WorkerTable::defer(Worker& worker) {
-  worker.changed = true;
-  changed_.push_back(worker.name);
+  worker.is_queued_as_changed = true;
+  changed_names_.push_back(worker.name);
 }
 
-std::vector<std::string> WorkerTable::take_changed() { return std::exchange(changed_, {}); }
+std::vector<std::string> WorkerTable::extract_changed_names() { return std::exchange(changed_names_, {}); }
 
 Worker* WorkerTable::claim_changed(const std::string& name) {
   Worker* worker = find(name);
-  if (worker == nullptr || !std::exchange(worker->changed, false)) return nullptr;
+  if (worker == nullptr || !std::exchange(worker->is_queued_as_changed, false)) return nullptr;
   return worker;
 }
 
@@ -76,35 +76,35 @@
 }
 
 void WorkerTable::mark_status_changed(const std::string& machine) {
-  if (Worker* worker = find(machine)) worker->status_changed = true;
+  if (Worker* worker = find(machine)) worker->has_status_change = true;
 }
 
 void WorkerTable::record_address(const std::string& machine, const std::string& address) {
   if (address.empty()) return;
-  std::string& known = addresses_[machine];
-  if (known == address) return;
-  known = address;
+  std::string& stored = addresses_[machine];
+  if (stored == address) return;
+  stored = address;
   Worker* worker = find(machine);
   if (worker == nullptr) return;
   worker->address = address;
   if (new_addresses_.size() <= workers_.size()) new_addresses_.push_back({machine, address});
 }
 
-std::vector<wire::Address> WorkerTable::take_addresses() {
+std::vector<wire::Address> WorkerTable::collect_address_updates() {
   std::vector<wire::Address> out = std::exchange(new_addresses_, {});
-  size_t position = ++turn_;
+  size_t position = ++republish_turn_;
   for (const auto& [name, worker] : workers_)
-    if (++position % kTurns == 0 && !worker.address.empty()) out.push_back({name, worker.address});
+    if (++position % kRepublishTurns == 0 && !worker.address.empty()) out.push_back({name, worker.address});
   return out;
 }
 
-std::vector<WorkerTable::StatusDue> WorkerTable::take_status_due(bool all) {
-  std::vector<StatusDue> out;
-  size_t position = turn_;
+std::vector<WorkerTable::DueStatus> WorkerTable::collect_due_statuses(bool include_all) {
+  std::vector<DueStatus> out;
+  size_t position = republish_turn_;
   for (auto& [name, worker] : workers_) {
-    const bool turn = ++position % kTurns == 0 || all;
-    const bool changed = std::exchange(worker.status_changed, false);
-    if (turn || changed) out.push_back({&worker, turn});
+    const bool must_republish = ++position % kRepublishTurns == 0 || include_all;
+    const bool has_changed = std::exchange(worker.has_status_change, false);
+    if (must_republish || has_changed) out.push_back({&worker, must_republish});
   }
   return out;
 }
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -46,31 +46,31 @@
   // Keeps the worker for the next pass, without anything new about it.
   void defer(Worker& worker);
   // The names of the workers that changed, in the order in which they did. The list starts over.
-  std::vector<std::string> take_changed();
+  std::vector<std::string> extract_changed_names();
   // Resets the mark of a worker from that list, so that what changes from now on puts it into the
   // next one. Null if the worker has been removed, or was claimed already.
   Worker* claim_changed(const std::string& name);
 
   // Drained machines take no tasks. A name stays marked while its worker is not in the table.
-  bool draining(const std::string& machine) const { return draining_.count(machine) != 0; }
+  bool is_draining(const std::string& machine) const { return draining_.count(machine) != 0; }
   void drain(const std::vector<std::string>& machines);
   void clear_draining();
 
   // Addresses of workers in all partitions, as far as anybody has told.
   void record_address(const std::string& machine, const std::string& address);
-  void forget_address(const std::string& machine) { addresses_.erase(machine); }
+  void remove_address(const std::string& machine) { addresses_.erase(machine); }
   const std::unordered_map<std::string, std::string>& addresses() const { return addresses_; }
 
   // For the other controllers: addresses learned since the last call, and some of the others in
   // turn, so that what was lost on the way is made good. Begins the next turn.
-  std::vector<wire::Address> take_addresses();
+  std::vector<wire::Address> collect_address_updates();
   // The workers whose status may have changed since the last call, and those whose turn it is; with
   // `all` it is everybody's.
-  struct StatusDue {
+  struct DueStatus {
     Worker* worker;
-    bool turn;  // published again even if it is the same
+    bool must_republish;  // published again even if it is the same
   };
-  std::vector<StatusDue> take_status_due(bool all);
+  std::vector<DueStatus> collect_due_statuses(bool include_all);
 
  private:
   void mark_status_changed(const std::string& machine);
@@ -78,11 +78,11 @@
   const runtime::Context& context_;
   const store::Replica& replica_;
   Workers workers_;
-  std::vector<std::string> changed_;
+  std::vector<std::string> changed_names_;
   std::set<std::string> draining_;
   std::unordered_map<std::string, std::string> addresses_;  // by machine
   std::vector<wire::Address> new_addresses_;
-  size_t turn_ = 0;
+  size_t republish_turn_ = 0;
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/zone_monitor.cc
+++ b/src/rooksill/agent/zone_monitor.cc
@@ -7,27 +7,27 @@
 namespace {
 constexpr int kSampleSize = 10;  // workers of a zone
 // A zone that was reachable is judged by at least so many: a few say little of it.
-constexpr int kSmallestSample = kSampleSize / 2;
-constexpr double kAnswerReports = 0.2;  // timeout of a sample's probes, in report intervals
-constexpr double kJudgeAfter = 1.2;     // timeouts after which a sample is judged
+constexpr int kMinSampleSize = kSampleSize / 2;
+constexpr double kSampleTimeoutHeartbeats = 0.2;  // timeout of a sample's probes, in report intervals
+constexpr double kEvaluateAfterTimeouts = 1.2;     // timeouts after which a sample is judged
 }  // namespace
 
-void ZoneMonitor::sample(const std::string& zone) {
+void ZoneMonitor::probe_sample(const std::string& zone) {
   Sample& sample = samples_[zone];
-  const double report = context_.settings.platform.report_s;
-  if (context_.now.steady - sample.started < report) return;
-  sample.started = context_.now.steady;
-  sample.sent = sample.answered = 0;
-  sample.judged = false;
+  const double heartbeat_interval_s = context_.settings.platform.report_s;
+  if (context_.now.steady - sample.started_at < heartbeat_interval_s) return;
+  sample.started_at = context_.now.steady;
+  sample.probes_sent = sample.responses_received = 0;
+  sample.is_evaluated = false;
   std::vector<const Worker*> candidates = reported_workers_in(zone);
   std::shuffle(candidates.begin(), candidates.end(), context_.rng);
   for (const Worker* worker : candidates) {
-    if (sample.sent == kSampleSize) break;
-    ++sample.sent;
+    if (sample.probes_sent == kSampleSize) break;
+    ++sample.probes_sent;
     context_.call(runtime::Target::kWorker, worker->address, "GET", "/inspect", "",
-                  report * kAnswerReports,
-                  [this, zone, started = sample.started](const runtime::CallDone& done) {
-                    if (done.status == 200) on_answer(zone, started);
+                  heartbeat_interval_s * kSampleTimeoutHeartbeats,
+                  [this, zone, started_at = sample.started_at](const runtime::CallDone& done) {
+                    if (done.status == 200) on_response(zone, started_at);
                   });
   }
 }
@@ -36,43 +36,43 @@
   std::vector<const Worker*> out;
   for (const auto& [name, worker] : workers_) {
     const model::Machine* machine = replica_.machine(name);
-    if (machine != nullptr && machine->zone == zone && worker.reported && !worker.address.empty())
+    if (machine != nullptr && machine->zone == zone && worker.has_reported && !worker.address.empty())
       out.push_back(&worker);
   }
   return out;
 }
 
-void ZoneMonitor::on_answer(const std::string& zone, double started) {
+void ZoneMonitor::on_response(const std::string& zone, double started_at) {
   auto sample = samples_.find(zone);
-  if (sample != samples_.end() && sample->second.started == started) ++sample->second.answered;
+  if (sample != samples_.end() && sample->second.started_at == started_at) ++sample->second.responses_received;
 }
 
-void ZoneMonitor::judge_samples() {
+void ZoneMonitor::evaluate_samples() {
   for (auto& [zone, last] : samples_) {
-    if (!last.judged && sample_is_over(last)) judge(zone, last);
-    if (last.verdict == Verdict::kUnreachable && !workers_.empty()) sample(zone);
+    if (!last.is_evaluated && is_sample_complete(last)) evaluate(zone, last);
+    if (last.verdict == Verdict::kUnreachable && !workers_.empty()) probe_sample(zone);
   }
 }
 
-bool ZoneMonitor::sample_is_over(const Sample& sample) const {
-  const double passed = context_.now.steady - sample.started;
-  return passed > kJudgeAfter * kAnswerReports * context_.settings.platform.report_s;
+bool ZoneMonitor::is_sample_complete(const Sample& sample) const {
+  const double elapsed_s = context_.now.steady - sample.started_at;
+  return elapsed_s > kEvaluateAfterTimeouts * kSampleTimeoutHeartbeats * context_.settings.platform.report_s;
 }
 
-void ZoneMonitor::judge(const std::string& zone, Sample& sample) {
+void ZoneMonitor::evaluate(const std::string& zone, Sample& sample) {
   const bool was_unreachable = sample.verdict == Verdict::kUnreachable;
   // Few workers are enough once the zone was found unreachable while there were more.
-  const int needed = was_unreachable ? 1 : kSmallestSample;
-  const bool unreachable = sample.sent >= needed && sample.answered * 2 < sample.sent;
-  if (unreachable != was_unreachable)
+  const int min_sent = was_unreachable ? 1 : kMinSampleSize;
+  const bool is_unreachable = sample.probes_sent >= min_sent && sample.responses_received * 2 < sample.probes_sent;
+  if (is_unreachable != was_unreachable)
     context_.info("agent", "zone {}: {} of {} workers probed answer, it is {}", zone,
-                  sample.answered, sample.sent, unreachable ? "unreachable" : "reachable again");
-  sample.verdict = unreachable ? Verdict::kUnreachable : Verdict::kReachable;
-  sample.judged = true;
-  all_unreachable_ = unreachable && every_worker_unreachable();
+                  sample.responses_received, sample.probes_sent, is_unreachable ? "unreachable" : "reachable again");
+  sample.verdict = is_unreachable ? Verdict::kUnreachable : Verdict::kReachable;
+  sample.is_evaluated = true;
+  is_every_zone_unreachable_ = is_unreachable && is_every_worker_in_unreachable_zone();
 }
 
-bool ZoneMonitor::every_worker_unreachable() const {
+bool ZoneMonitor::is_every_worker_in_unreachable_zone() const {
   return std::all_of(workers_.begin(), workers_.end(), [this](const auto& entry) {
     const auto& [name, worker] = entry;
     const model::Machine* machine = replica_.machine(name);
@@ -84,7 +84,7 @@
 
 void ZoneMonitor::clear() {
   samples_.clear();
-  all_unreachable_ = false;
+  is_every_zone_unreachable_ = false;
 }
 
 std::vector<std::string> ZoneMonitor::unreachable_zones() const {
--- a/src/rooksill/agent/zone_monitor.h
+++ b/src/rooksill/agent/zone_monitor.h
@@ -20,38 +20,38 @@
       : context_(context), replica_(replica), workers_(workers) {}
 
   // Probes a sample of the zone, at most once in a report interval.
-  void sample(const std::string& zone);
+  void probe_sample(const std::string& zone);
   // Judges the samples whose time is up. A zone found unreachable is sampled again and again.
-  void judge_samples();
+  void evaluate_samples();
   void clear();
 
   // In ascending order.
   std::vector<std::string> unreachable_zones() const;
   // No zone with workers in the table answered when it was last judged: it is this controller that
   // is cut off, and it need not wait until each worker is silent to know.
-  bool all_unreachable() const { return all_unreachable_; }
+  bool is_every_zone_unreachable() const { return is_every_zone_unreachable_; }
 
  private:
   enum class Verdict { kReachable, kUnreachable };
   struct Sample {
-    double started = -1e9;  // steady clock
-    int sent = 0;
-    int answered = 0;
-    bool judged = true;
+    double started_at = -1e9;  // steady clock
+    int probes_sent = 0;
+    int responses_received = 0;
+    bool is_evaluated = true;
     Verdict verdict = Verdict::kReachable;  // of the last sample that was judged
   };
 
   std::vector<const Worker*> reported_workers_in(const std::string& zone) const;
-  void on_answer(const std::string& zone, double started);
-  bool sample_is_over(const Sample& sample) const;
-  void judge(const std::string& zone, Sample& sample);
-  bool every_worker_unreachable() const;
+  void on_response(const std::string& zone, double started_at);
+  bool is_sample_complete(const Sample& sample) const;
+  void evaluate(const std::string& zone, Sample& sample);
+  bool is_every_worker_in_unreachable_zone() const;
 
   runtime::Context& context_;
   const store::Replica& replica_;
   WorkerTable& workers_;
   std::map<std::string, Sample> samples_;  // by zone
-  bool all_unreachable_ = false;
+  bool is_every_zone_unreachable_ = false;
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/partition/capacity_tracker.cc
+++ b/src/rooksill/partition/capacity_tracker.cc
@@ -10,7 +10,7 @@
 namespace rooksill::partition {
 
 const placement::MachineCapacity& CapacityTracker::capacity(agent::Worker& worker) {
-  if (worker.capacity_stale) recompute(worker);
+  if (worker.is_capacity_stale) recompute(worker);
   return worker.capacity;
 }
 
@@ -20,7 +20,7 @@
 }
 
 void CapacityTracker::recompute(agent::Worker& worker) {
-  worker.capacity_stale = false;
+  worker.is_capacity_stale = false;
   forget(worker);
   worker.capacity = empty_machine(worker);
   if (replica_.machine(worker.name) == nullptr) return;
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -25,10 +25,10 @@
                                    const store::Replica& replica) {
   wire::MachineStatus status;
   status.name = worker.name;
-  status.up = worker.reported;
+  status.up = worker.has_reported;
   status.draining = availability.draining;
-  status.silent = worker.silent;
-  status.faulty = worker.failures.faulty;
+  status.silent = worker.is_unreachable;
+  status.faulty = worker.failures.is_faulty;
   status.termination_notice = worker.terminates_at.has_value();
   if (availability.takes_tasks) {
     status.cpus_free = capacity.free.cpus;
@@ -47,8 +47,8 @@
 void MachineSummary::add(const agent::Worker& worker, const placement::MachineCapacity& capacity,
                          bool takes_tasks, size_t placed_tasks) {
   ++machines_;
-  reported_ += worker.reported ? 1 : 0;
-  commands_in_flight_ += worker.tokens.command_in_flight() ? 1 : 0;
+  reported_ += worker.has_reported ? 1 : 0;
+  commands_in_flight_ += worker.tokens.has_command_in_flight() ? 1 : 0;
   placed_tasks_ += placed_tasks;
   for (const auto& task : worker.tasks) ++tasks_by_phase_[static_cast<size_t>(task.phase)];
   if (!takes_tasks) return;
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -18,10 +18,10 @@
 
 bool PartitionOwner::open(const agent::Worker& w) const {
   const bool heard =
-      agent::seconds_silent(w, ctx_) < agent::kProbeReports * ctx_.settings.platform.report_s ||
-      !w.probe.failed;
-  return w.capacity.type != nullptr && w.reported && heard && !w.failures.faulty &&
-         !w.terminates_at && !workers_.draining(w.name) &&
+      agent::seconds_since_contact(w, ctx_) < agent::kProbeAfterHeartbeats * ctx_.settings.platform.report_s ||
+      !w.probe.has_failed;
+  return w.capacity.type != nullptr && w.has_reported && heard && !w.failures.is_faulty &&
+         !w.terminates_at && !workers_.is_draining(w.name) &&
          w.failures.avoid_until <= ctx_.now.steady;
 }
 
@@ -76,7 +76,7 @@
   quota_usage_.refresh_shares();
   eviction_budget_.refill(client_.writes_per_s(), ctx_.now.steady);
   const auto failed_there = [this](const std::string& job, const std::string& machine) {
-    return job_backoff_.failed_on(job, machine);
+    return job_backoff_.has_failed_on(job, machine);
   };
   PlacementPass pass({ctx_, replica_, owned_, changes_, workers_, capacities_, quota_usage_,
                       evicted_, failed_there},
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -89,7 +89,7 @@
         workers_.remove(name);
       }
     } else if (machine == nullptr) {
-      workers_.forget_address(name);
+      workers_.remove_address(name);
     } else if (owns(machine->partition)) {
       workers_.add(name, machine->partition);
     }
@@ -110,7 +110,7 @@
 void PartitionOwner::on_change_added(const model::TaskRef& task, const TaskChange& change) {
   agent::Worker* worker = workers_.find(change.machine.name);
   if (worker == nullptr) return;
-  worker->capacity_stale = worker->status_changed = true;
+  worker->is_capacity_stale = worker->has_status_change = true;
   if (change.kind == TaskChange::Kind::kPlaced) worker->pending_placements.insert(task);
 }
 
@@ -183,13 +183,13 @@
 
 wire::MachineStatus PartitionOwner::status_of(agent::Worker& worker) {
   const placement::MachineCapacity& capacity = capacities_.capacity(worker);
-  const MachineAvailability availability{workers_.draining(worker.name), open(worker)};
+  const MachineAvailability availability{workers_.is_draining(worker.name), open(worker)};
   return machine_status(worker, capacity, availability, replica_);
 }
 
 std::vector<wire::MachineStatus> PartitionOwner::take_statuses(bool all) {
   std::vector<wire::MachineStatus> out;
-  for (const auto& [worker, turn] : workers_.take_status_due(all)) {
+  for (const auto& [worker, turn] : workers_.collect_due_statuses(all)) {
     wire::MachineStatus status = status_of(*worker);
     if (!turn && status == worker->published_status) continue;
     worker->published_status = status;
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -73,21 +73,21 @@
 
   // What changed since the last call, and some others in turn; everything if `all`.
   std::vector<wire::MachineStatus> take_statuses(bool all);
-  std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
+  std::vector<wire::Address> take_addresses() { return workers_.collect_address_updates(); }
   // Of teams with a limit, in the partitions held.
   std::vector<wire::QuotaUse> quota_use() const;
   size_t queued() const { return changes_.size(); }
   std::string summary();  // of the machines held, for the log
   bool owns(int partition) const { return owned_.owns(partition); }
-  bool suspects_itself() const { return failure_detector_.suspects_itself(); }
-  std::vector<std::string> silent_machines() const { return failure_detector_.silent_machines(); }
+  bool suspects_itself() const { return failure_detector_.is_likely_isolated(); }
+  std::vector<std::string> silent_machines() const { return failure_detector_.unreachable_machines(); }
   // Zones that this controller cannot reach.
   std::vector<std::string> unreachable_zones() const {
     return failure_detector_.unreachable_zones();
   }
-  bool backing_off(const std::string& job) const { return job_backoff_.backing_off(job); }
+  bool backing_off(const std::string& job) const { return job_backoff_.is_backing_off(job); }
   std::optional<wire::UnassignedMachine> take_unassigned_machine() {
-    return heartbeat_endpoint_.take_unassigned_machine();
+    return heartbeat_endpoint_.extract_unassigned_machine();
   }
 
  private:
