--- a/src/rooksill/agent/command_sender.cc
+++ b/src/rooksill/agent/command_sender.cc
@@ -12,18 +12,20 @@
 namespace {
 using wire::WorkerCommand;
 
-constexpr size_t kMaxCommandsPerRequest = 64;      // in one request
-constexpr double kCommandTimeoutHeartbeats = 0.5;  // in report intervals
-// Parts of a report interval until the next command: after starts were held back, after the worker
-// refused the command, and after it did not answer.
-constexpr double kDeferredStartsDelayDivisor = 20, kRefusedDelayDivisor = 30, kUnansweredDelayDivisor = 3;
+constexpr size_t kMaxCommandsPerRequest = 64;
+constexpr double kCommandTimeoutHeartbeats = 0.5;
+// Divisors of the heartbeat interval that give the delay until the next request: after starts were
+// deferred, after the worker rejected a request, and after a request was not acknowledged.
+constexpr double kDeferredStartsDelayDivisor = 20, kRefusedDelayDivisor = 30,
+                 kUnansweredDelayDivisor = 3;
 
 constexpr int kHttpOk = 200, kHttpConflict = 409;
 
 bool is_start(const WorkerCommand& command) { return command.op == WorkerCommand::Op::kStart; }
 
-// Removing alone is not urgent: the next answer carries it. Before a start it is, since an older
-// attempt that is still listed would make the worker refuse the new one.
+// Returns whether the commands have to be sent now. Removals alone can wait for the next heartbeat
+// response. A removal that precedes a start is urgent: while an older attempt is still listed, the
+// worker rejects the new one.
 bool is_urgent(const std::vector<WorkerCommand>& commands) {
   return std::any_of(commands.begin(), commands.end(), [](const WorkerCommand& command) {
     return command.op != WorkerCommand::Op::kRemove;
@@ -45,13 +47,13 @@
 }
 
 void CommandSender::process_changed(Worker& worker) {
-  // The command's answer will mark the worker as changed again.
+  // The response to that command marks the worker as changed again.
   if (worker.tokens.has_command_in_flight()) return;
   if (!can_send_to(worker)) return workers_.defer(worker);
-  // Of a partition just acquired: an empty command shows the worker our token and brings its
-  // report.
+  // The partition was just acquired. An empty request gives the worker the new fencing token and
+  // returns its task list.
   if (!worker.has_reported) return send(worker, {});
-  if (std::exchange(worker.has_received_all_commands, false)) return;
+  if (std::exchange(worker.was_sent_all_commands, false)) return;
   std::vector<WorkerCommand> commands = reconciler_.reconcile(worker);
   if (!can_start_tasks()) defer_starts(worker, commands);
   if (!is_urgent(commands)) return;
@@ -64,8 +66,9 @@
          commands_in_flight_ < runtime::kCommandSockets * context_.settings.platform.max_sockets;
 }
 
-// After a pause, or long without the store, the job may be cancelled and the task elsewhere, for
-// all that is known here; and a worker in a new agent epoch would run it for a lease.
+// After this process was suspended, or after a long time without the store, the replica may be
+// stale: the job may have been cancelled or the task placed on another machine. A worker in a new
+// agent epoch would run the task for a whole lease.
 bool CommandSender::can_start_tasks() const {
   return replica_.synced_at >= context_.resumed_at && renewal_permit_.is_granted();
 }
@@ -81,52 +84,57 @@
   const model::FencingToken token = worker.tokens.current;
   worker.tokens.in_flight = token;
   ++commands_in_flight_;
-  context_.debug("agent", "machine {}: {} commands, token {}", worker.name, commands.size(),
-                 model::number(token));
+  context_.debug("agent", "machine {}: sending {} commands with fencing token {}", worker.name,
+                 commands.size(), model::number(token));
   const uint64_t agent_epoch = std::max<uint64_t>(1, worker.version.agent_epoch);
-  const InFlightCommand sent{worker.name, token, std::any_of(commands.begin(), commands.end(), is_start)};
+  const InFlightCommand command{worker.name, token,
+                                std::any_of(commands.begin(), commands.end(), is_start)};
   context_.call(runtime::Target::kWorker, worker.address, "POST", "/commands",
                 wire::encode_commands(token, agent_epoch, commands),
                 context_.settings.platform.report_s * kCommandTimeoutHeartbeats,
-                [this, sent](const runtime::CallDone& done) { on_call_done(sent, done); });
+                [this, command](const runtime::CallDone& done) { on_call_done(command, done); });
 }
 
-void CommandSender::on_call_done(const InFlightCommand& sent, const runtime::CallDone& done) {
+void CommandSender::on_call_done(const InFlightCommand& command, const runtime::CallDone& done) {
   --commands_in_flight_;
-  Worker* worker = workers_.find(sent.machine);
-  // A worker that was removed and added again since has no command under way, or another one.
-  if (worker == nullptr || worker->tokens.in_flight != sent.token) return;
+  Worker* worker = workers_.find(command.machine);
+  // If the worker was removed and added again meanwhile, it has no command in flight or another
+  // one.
+  if (worker == nullptr || worker->tokens.in_flight != command.token) return;
   worker->tokens.in_flight = model::kNoFencingToken;
   workers_.mark_changed(*worker);
   const bool is_acknowledged = done.status == kHttpOk || done.status == kHttpConflict;
   const auto heartbeat = wire::parse_heartbeat(done.body);
-  if (is_acknowledged && heartbeat && heartbeat->machine == sent.machine)
+  if (is_acknowledged && heartbeat && heartbeat->machine == command.machine)
     on_acknowledged(*worker, done.status, *heartbeat);
   else
-    on_not_acknowledged(*worker, sent, done.refused);
+    on_not_acknowledged(*worker, command, done.refused);
 }
 
 void CommandSender::on_acknowledged(Worker& worker, int status,
                                     const wire::WorkerHeartbeat& heartbeat) {
   const double heartbeat_interval_s = context_.settings.platform.report_s;
-  if (status == kHttpConflict) worker.next_command_at = context_.now.steady + heartbeat_interval_s / kRefusedDelayDivisor;
+  if (status == kHttpConflict)
+    worker.next_command_at = context_.now.steady + heartbeat_interval_s / kRefusedDelayDivisor;
   if (heartbeat.fencing_token <= worker.tokens.current) return receiver_.accept(worker, heartbeat);
-  // Another controller is entitled to the worker.
-  context_.info("agent", "machine {} has token {} above ours {}", worker.name,
-                model::number(heartbeat.fencing_token), model::number(worker.tokens.current));
+  // A newer partition owner has sent commands to this worker.
+  context_.info(
+      "agent", "machine {} has fencing token {}, which is above the token {} of this controller",
+      worker.name, model::number(heartbeat.fencing_token), model::number(worker.tokens.current));
   worker.next_command_at = context_.now.steady + heartbeat_interval_s;
 }
 
-void CommandSender::on_not_acknowledged(Worker& worker, const InFlightCommand& sent, bool is_connection_refused) {
+void CommandSender::on_not_acknowledged(Worker& worker, const InFlightCommand& command,
+                                        bool is_connection_refused) {
   worker.next_command_at =
       context_.now.steady + context_.settings.platform.report_s / kUnansweredDelayDivisor;
-  // A refused connection carried nothing.
-  if (!sent.has_starts || is_connection_refused) return;
+  // A refused connection delivered no commands.
+  if (!command.has_starts || is_connection_refused) return;
   WorkerTokens& tokens = worker.tokens;
-  tokens.highest_unacknowledged = std::max(tokens.highest_unacknowledged, sent.token);
-  tokens.current = std::max(tokens.current, model::next(sent.token));
-  context_.debug("agent", "machine {}: command unacknowledged, token now {}", worker.name,
-                 model::number(tokens.current));
+  tokens.highest_unacknowledged = std::max(tokens.highest_unacknowledged, command.token);
+  tokens.current = std::max(tokens.current, model::next(command.token));
+  context_.debug("agent", "machine {}: command was not acknowledged, fencing token increased to {}",
+                 worker.name, model::number(tokens.current));
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/command_sender.h
+++ b/src/rooksill/agent/command_sender.h
@@ -15,13 +15,15 @@
 
 namespace rooksill::agent {
 
-// What a worker has to do goes out at once where it is urgent; the rest waits for the answer to the
-// worker's next report. One command is under way to a worker at a time.
+// Sends urgent commands to workers immediately; all others are delivered with the response to the
+// worker's next heartbeat. At most one request is in flight to a worker at a time.
 //
-// A command that was not acknowledged may be carried out later. If it starts tasks, the worker's
-// fencing token is raised: once the worker has seen the higher one, the old command is void.
+// A request that was not acknowledged may be executed later. If it starts tasks, the worker's
+// fencing token is increased: once the worker has seen the higher token, it rejects the old
+// request.
 class CommandSender {
  public:
+  // All references must outlive the sender.
   struct Dependencies {
     runtime::Context& context;
     const store::Replica& replica;
@@ -33,11 +35,11 @@
 
   explicit CommandSender(const Dependencies& dependencies);
 
-  // Reconciles the workers that changed since the last call and sends what is urgent.
+  // Reconciles the workers that changed since the last call and sends their urgent commands.
   void send_urgent();
 
  private:
-  // What is kept of a command while it is under way.
+  // A request whose response is outstanding.
   struct InFlightCommand {
     std::string machine;
     model::FencingToken token;
@@ -49,9 +51,10 @@
   bool can_start_tasks() const;
   void defer_starts(Worker& worker, std::vector<wire::WorkerCommand>& commands);
   void send(Worker& worker, const std::vector<wire::WorkerCommand>& commands);
-  void on_call_done(const InFlightCommand& sent, const runtime::CallDone& done);
+  void on_call_done(const InFlightCommand& command, const runtime::CallDone& done);
   void on_acknowledged(Worker& worker, int status, const wire::WorkerHeartbeat& heartbeat);
-  void on_not_acknowledged(Worker& worker, const InFlightCommand& sent, bool is_connection_refused);
+  void on_not_acknowledged(Worker& worker, const InFlightCommand& command,
+                           bool is_connection_refused);
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -10,14 +10,16 @@
 namespace rooksill::agent {
 
 namespace {
-// Lease durations without a report after which a worker is mute, though it answers probes. Replicas
-// are started again in place within moments of each lease's end, so those may stay for longer.
+// Lease durations without a periodic heartbeat after which a worker counts as having stopped them,
+// although it responds to probes. Service replicas are restarted in place shortly after each lease
+// expires, so a machine with replicas may continue for longer.
 constexpr double kNoHeartbeatTimeoutLeases = 0.6;
 constexpr double kNoHeartbeatReplicaTimeoutLeases = 2.2;
-constexpr int kMaxFailedProbes = 2;          // in a row that make a worker unreachable
-constexpr double kMaxProbesPerHeartbeat = 10;   // at most, to one worker
-constexpr double kProbeTimeoutHeartbeats = 0.25;    // in report intervals, as the next
-constexpr double kNoAddressTimeoutHeartbeats = 2;  // after which a worker without an address has failed
+constexpr int kUnreachableProbeFailures = 2;  // consecutive failures that make a worker unreachable
+constexpr double kMaxProbesPerHeartbeat = 10;  // to one worker
+constexpr double kProbeTimeoutHeartbeats = 0.25;
+constexpr double kNoAddressTimeoutHeartbeats =
+    2;  // without contact, for a worker without an address
 }  // namespace
 
 FailureDetector::FailureDetector(runtime::Context& context, const store::Replica& replica,
@@ -30,7 +32,8 @@
       self_check_(context, workers) {}
 
 void FailureDetector::check() {
-  // Where most workers are mute, it is this controller that their reports do not reach.
+  // If most workers have stopped their heartbeats, this controller is the one that does not receive
+  // them, and the workers are not marked as unreachable for it.
   const bool are_stopped_unreachable = do_most_send_heartbeats();
   SelfCheck::ResponseCounts counts;
   for (auto& [name, worker] : workers_) {
@@ -38,27 +41,30 @@
     const bool unresponsive = is_unresponsive(worker);
     if (is_response_expected(worker)) ++counts.expected;
     if (unresponsive) ++counts.unresponsive;
-    set_unreachable(worker, (unresponsive && is_timeout_exceeded(worker)) || (are_stopped_unreachable && has_stopped_heartbeats(worker)));
+    set_unreachable(worker, (unresponsive && is_timeout_exceeded(worker)) ||
+                                (are_stopped_unreachable && has_stopped_heartbeats(worker)));
   }
   const auto verdict = self_check_.update(counts, zones_.is_every_zone_unreachable());
   if (verdict == SelfCheck::Verdict::kReconnected) zones_.clear();
   zones_.evaluate_samples();
 }
 
-// A machine that answers and sends no reports cannot reach the controllers: its lease runs out
-// again and again, and with it all its work.
+// A worker that responds to probes but sends no heartbeats cannot reach the controllers. Its lease
+// is not renewed, so all its tasks end each time the lease expires.
 bool FailureDetector::has_stopped_heartbeats(const Worker& worker) const {
   const bool has_replicas = replica_.load(worker.name).replica_cpus > 0;
-  const double timeout_leases = has_replicas ? kNoHeartbeatReplicaTimeoutLeases : kNoHeartbeatTimeoutLeases;
-  const double last_activity_at =
-      std::max({worker.contact.last_periodic_heartbeat_at, worker.contact.recovered_at, context_.resumed_at});
-  return worker.has_reported &&
-         context_.now.steady - last_activity_at > timeout_leases * context_.settings.platform.lease_s;
+  const double timeout_leases =
+      has_replicas ? kNoHeartbeatReplicaTimeoutLeases : kNoHeartbeatTimeoutLeases;
+  const double last_activity_at = std::max({worker.contact.last_periodic_heartbeat_at,
+                                            worker.contact.recovered_at, context_.resumed_at});
+  return worker.has_reported && context_.now.steady - last_activity_at >
+                                    timeout_leases * context_.settings.platform.lease_s;
 }
 
 bool FailureDetector::do_most_send_heartbeats() const {
-  const auto stopped_count = std::count_if(workers_.begin(), workers_.end(),
-                                  [this](const auto& entry) { return has_stopped_heartbeats(entry.second); });
+  const auto stopped_count =
+      std::count_if(workers_.begin(), workers_.end(),
+                    [this](const auto& entry) { return has_stopped_heartbeats(entry.second); });
   return static_cast<size_t>(stopped_count) * 2 <= workers_.size();
 }
 
@@ -68,10 +74,11 @@
 
 bool FailureDetector::is_unresponsive(const Worker& worker) const {
   return is_response_expected(worker) && worker.probe.has_failed &&
-         seconds_since_contact(worker, context_) > kProbeAfterHeartbeats * context_.settings.platform.report_s;
+         seconds_since_contact(worker, context_) >
+             kProbeAfterHeartbeats * context_.settings.platform.report_s;
 }
 
-// A machine that the cloud is about to take back need not be waited for.
+// For a machine that the cloud is about to reclaim, the timeout is not waited for.
 bool FailureDetector::is_timeout_exceeded(const Worker& worker) const {
   return seconds_since_contact(worker, context_) > unreachable_timeout_s() || worker.terminates_at;
 }
@@ -87,7 +94,8 @@
 }
 
 void FailureDetector::record_contact(Worker& worker) {
-  // A machine that was out of reach needs a while to find its controller again.
+  // After an outage, a worker needs some time to find its controller again;
+  // has_stopped_heartbeats() counts from this time.
   if (seconds_since_contact(worker, context_) > unreachable_timeout_s())
     worker.contact.recovered_at = context_.now.steady;
   worker.contact.last_contact_at = context_.now.steady;
@@ -95,26 +103,28 @@
   self_check_.record_response();
 }
 
-// ---- probes --------------------------------------------------------------------------------
-
 void FailureDetector::probe_if_due(Worker& worker) {
   if (!is_probe_due(worker)) return worker.probe.clear_failures();
   const double heartbeat_interval_s = context_.settings.platform.report_s;
-  if (worker.address.empty() && seconds_since_contact(worker, context_) > kNoAddressTimeoutHeartbeats * heartbeat_interval_s)
+  if (worker.address.empty() &&
+      seconds_since_contact(worker, context_) > kNoAddressTimeoutHeartbeats * heartbeat_interval_s)
     worker.probe.has_failed = true;
   if (worker.probe.is_in_flight || worker.address.empty()) return;
   if (context_.now.steady < worker.probe.next_probe_at) return;
-  // Hundreds may be late at once, after a cut or a pause: they are probed in turn.
+  // After a network outage or a suspension of this process, hundreds of workers may be due at once.
+  // The limit on sockets spreads their probes over time.
   if (probes_in_flight_ >= runtime::kProbeSockets * context_.settings.platform.max_sockets) return;
   send_probe(worker);
 }
 
 bool FailureDetector::is_probe_due(const Worker& worker) const {
   const double heartbeat_interval_s = context_.settings.platform.report_s;
-  return seconds_since_contact(worker, context_) >= kProbeAfterHeartbeats * heartbeat_interval_s || has_lease_expired(worker);
+  return seconds_since_contact(worker, context_) >= kProbeAfterHeartbeats * heartbeat_interval_s ||
+         has_lease_expired(worker);
 }
 
-// Such a worker is probed at once: its tasks are to be started again.
+// Whether the lease of the worker's tasks has expired without contact since. Such a worker is
+// probed immediately, because its tasks have to be restarted.
 bool FailureDetector::has_lease_expired(const Worker& worker) const {
   const WorkerContact& contact = worker.contact;
   return worker.has_reported && context_.now.steady > contact.lease_expires_at &&
@@ -127,7 +137,8 @@
   worker.probe.is_in_flight = true;
   worker.probe.next_probe_at = context_.now.steady + heartbeat_interval_s / kMaxProbesPerHeartbeat;
   context_.call(
-      runtime::Target::kWorker, worker.address, "GET", "/inspect", "", heartbeat_interval_s * kProbeTimeoutHeartbeats,
+      runtime::Target::kWorker, worker.address, "GET", "/inspect", "",
+      heartbeat_interval_s * kProbeTimeoutHeartbeats,
       [this, name = worker.name](const runtime::CallDone& done) { on_probe_done(name, done); });
 }
 
@@ -139,7 +150,7 @@
   const auto heartbeat = wire::parse_heartbeat(done.body);
   const bool is_answered = done.status == 200 && heartbeat;
   if (is_answered && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
-  worker->probe.has_failed = ++worker->probe.consecutive_failures >= kMaxFailedProbes;
+  worker->probe.has_failed = ++worker->probe.consecutive_failures >= kUnreachableProbeFailures;
   if (const model::Machine* machine = replica_.machine(name)) zones_.probe_sample(machine->zone);
 }
 
--- a/src/rooksill/agent/failure_detector.h
+++ b/src/rooksill/agent/failure_detector.h
@@ -1,4 +1,4 @@
-// Which workers are out of reach.
+// Detects unreachable workers and zones.
 #pragma once
 
 #include <functional>
@@ -14,32 +14,38 @@
 
 namespace rooksill::agent {
 
-// Probes workers that have not been heard for a while, and marks those as silent that stay out of
-// reach: the leader returns such machines and rents others. Where it is not single workers that are
-// out of reach, it tells a cut zone and a cut of this controller itself apart from them.
+// Probes workers that have not been in contact for a while and marks those as unreachable that do
+// not respond within the timeout; the leader returns such machines and rents replacements. When
+// many workers are unreachable at once, it distinguishes the failure of single workers from an
+// unreachable zone (ZoneMonitor) and from the isolation of this controller (SelfCheck).
 class FailureDetector {
  public:
-  // Takes the heartbeat that a probe is answered with.
+  // Processes the heartbeat in the response to a probe.
   using HeartbeatHandler = std::function<void(Worker&, const wire::WorkerHeartbeat&)>;
 
+  // All references must outlive the detector.
   FailureDetector(runtime::Context& context, const store::Replica& replica, WorkerTable& workers,
                   HeartbeatHandler on_heartbeat);
 
-  // Sends the probes that are due and judges every worker anew. To be called now and then.
+  // Sends the probes that are due and updates the state of every worker. Has to be called
+  // periodically.
   void check();
-  // A worker was heard.
+  // Records that a message from the worker was received.
   void record_contact(Worker& worker);
 
+  // Returns whether this controller itself is likely cut off from the network.
   bool is_likely_isolated() const { return self_check_.is_likely_isolated(); }
-  // As many as fit in a value of the store.
+  // Returns the machines of unreachable workers, at most as many as fit in a value of the store.
   std::vector<std::string> unreachable_machines() const;
+  // Returns the zones that this controller cannot reach, in ascending order.
   std::vector<std::string> unreachable_zones() const { return zones_.unreachable_zones(); }
 
  private:
-  // Machines that answer probes but send no reports.
+  // Whether the worker sends no periodic heartbeats, although it may respond to probes.
   bool has_stopped_heartbeats(const Worker& worker) const;
+  // Whether at least half of the workers send periodic heartbeats.
   bool do_most_send_heartbeats() const;
-  // Whether the worker should be heard at all.
+  // Whether the worker is expected to run: it has reported, or tasks are placed on it.
   bool is_response_expected(const Worker& worker) const;
   bool is_unresponsive(const Worker& worker) const;
   bool is_timeout_exceeded(const Worker& worker) const;
@@ -51,7 +57,7 @@
   void send_probe(Worker& worker);
   void on_probe_done(const std::string& name, const runtime::CallDone& done);
 
-  // Seconds that the operators let a machine be silent.
+  // Seconds without contact after which a machine is unreachable, as set by the operators.
   double unreachable_timeout_s() const;
 
   runtime::Context& context_;
--- a/src/rooksill/agent/gang_attempts.h
+++ b/src/rooksill/agent/gang_attempts.h
@@ -9,8 +9,8 @@
 
 namespace rooksill::agent {
 
-// All tasks of a gang's attempt run together: once one of them is gone, the rest is stopped, and
-// the next attempt waits until all of it is gone.
+// Tracks the attempts of gang jobs. All tasks of an attempt run together: once one of them is lost,
+// the others are stopped, and the next attempt waits until all of them have ended.
 class GangAttempts {
  public:
   // All arguments must outlive this.
@@ -18,15 +18,16 @@
                WorkerTable& workers, placement::EvictedTasks& evicted)
       : replica_(replica), changes_(changes), workers_(workers), evicted_(evicted) {}
 
-  // Whether a task of the attempt that the store has is gone, or known here to be.
+  // Returns whether a task of the job's current attempt is lost, either according to the store or
+  // to a change that is not yet written to it.
   bool has_lost_task(const model::Job& job) const;
-  // Evicts all of the attempt's tasks on this controller's workers at once: those that are stopped
-  // later than `gang_peer_s` after the first save nothing.
+  // Evicts all tasks of the attempt on this controller's workers in one step: a task that is
+  // stopped more than `gang_peer_s` after the first one saves no work.
   void evict_all(const model::Job& job);
 
  private:
   bool is_lost(const model::TaskShard& shard, const model::TaskRef& ref,
-            const model::TaskState& task) const;
+               const model::TaskState& task) const;
 
   const store::Replica& replica_;
   const changes::TaskChangeQueue& changes_;
--- a/src/rooksill/agent/heartbeat_endpoint.cc
+++ b/src/rooksill/agent/heartbeat_endpoint.cc
@@ -32,9 +32,9 @@
   reply_with_commands(request, *worker, *heartbeat);
 }
 
-// The leader decides what becomes of such a machine.
+// The leader decides whether to assign such a machine to a partition or to return it.
 void HeartbeatEndpoint::reply_to_unassigned(uint64_t request,
-                                          const wire::WorkerHeartbeat& heartbeat) {
+                                            const wire::WorkerHeartbeat& heartbeat) {
   unassigned_machine_ = wire::UnassignedMachine{heartbeat.machine, heartbeat.address,
                                                 heartbeat.type, heartbeat.zone, heartbeat.spot};
   const std::string& leader = replica_.leader.label;
@@ -44,29 +44,32 @@
 
 void HeartbeatEndpoint::redirect_to_owner(uint64_t request, int partition) {
   const std::string& owner = replica_.leases[static_cast<size_t>(partition)].owner;
-  // Leased to this controller, which has not acquired the partition yet.
+  // The partition is leased to this controller, which has not finished acquiring it.
   if (owner == context_.settings.platform.label) return reply_retry_later(request);
   context_.reply(request, 421, wire::encode_redirect(owner));
 }
 
 void HeartbeatEndpoint::reply_with_commands(uint64_t request, Worker& worker,
-                               const wire::WorkerHeartbeat& heartbeat) {
-  // Another controller is entitled to the worker. A 200 would renew a lease that is not ours.
+                                            const wire::WorkerHeartbeat& heartbeat) {
+  // A newer partition owner has sent commands to this worker. Status 200 would renew a lease that
+  // this controller no longer has a right to.
   if (heartbeat.fencing_token > worker.tokens.current) {
-    context_.info("agent", "machine {} has token {} above ours {}", worker.name,
-                  model::number(heartbeat.fencing_token), model::number(worker.tokens.current));
+    context_.info(
+        "agent", "machine {} has fencing token {}, which is above the token {} of this controller",
+        worker.name, model::number(heartbeat.fencing_token), model::number(worker.tokens.current));
     return context_.reply(request, 421, "{}");
   }
   context_.count("reports");
   accept_periodic_heartbeat(worker, heartbeat);
   std::vector<wire::WorkerCommand> commands = reconciler_.reconcile(worker);
-  // Starts go out as direct commands only: an answer that arrives late could start what has been
-  // moved since.
-  worker.has_received_all_commands = remove_starts(commands) == 0;
+  // Starts are sent as direct commands only: a delayed heartbeat response could start a task that
+  // has been moved meanwhile.
+  worker.was_sent_all_commands = remove_starts(commands) == 0;
   context_.reply(request, 200, wire::encode_answer(worker.tokens.current, commands));
 }
 
-void HeartbeatEndpoint::accept_periodic_heartbeat(Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
+void HeartbeatEndpoint::accept_periodic_heartbeat(Worker& worker,
+                                                  const wire::WorkerHeartbeat& heartbeat) {
   worker.address = heartbeat.address;
   if (!worker.has_reported || version_of(heartbeat) > worker.version)
     worker.contact.last_periodic_heartbeat_at = context_.now.steady;
--- a/src/rooksill/agent/heartbeat_endpoint.h
+++ b/src/rooksill/agent/heartbeat_endpoint.h
@@ -1,4 +1,4 @@
-// Answers the reports that workers send.
+// HTTP endpoint for the periodic heartbeats of workers.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,14 @@
 
 namespace rooksill::agent {
 
-// POST /agent/beat. Only an answer with status 200 renews the lease of the worker's tasks:
-//   200  commands for the worker
-//   400  not a report
-//   421  the worker belongs to another controller, named if it is known
-//   503  later: this controller does not know enough to answer
+// Handles POST /agent/beat. Only a response with status 200 renews the lease of the worker's tasks:
+//   200  accepted; the body carries commands for the worker
+//   400  the request body is not a heartbeat
+//   421  the worker belongs to another controller, whose label is in the body if it is known
+//   503  retry later: this controller's view of the store or of cancellations is not current
 class HeartbeatEndpoint {
  public:
+  // All references must outlive the endpoint.
   struct Dependencies {
     runtime::Context& context;
     const store::Replica& replica;
@@ -36,18 +37,22 @@
 
   explicit HeartbeatEndpoint(const Dependencies& dependencies);
 
+  // Replies to a request with the given body.
   void handle(uint64_t request, const std::string& body);
-  // The last worker that reported without being in any partition, once.
+  // Returns the last worker that sent a heartbeat without being in any partition, and clears it.
   std::optional<wire::UnassignedMachine> extract_unassigned_machine();
 
  private:
   void reply_to_unassigned(uint64_t request, const wire::WorkerHeartbeat& heartbeat);
   void redirect_to_owner(uint64_t request, int partition);
-  void reply_with_commands(uint64_t request, Worker& worker, const wire::WorkerHeartbeat& heartbeat);
+  void reply_with_commands(uint64_t request, Worker& worker,
+                           const wire::WorkerHeartbeat& heartbeat);
   void accept_periodic_heartbeat(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
-  void reply_retry_later(uint64_t request) { context_.reply(request, 503, "{}", kRetryAfterSeconds); }
+  void reply_retry_later(uint64_t request) {
+    context_.reply(request, 503, "{}", kRetryAfterSeconds);
+  }
 
-  static constexpr double kRetryAfterSeconds = 1;  // s
+  static constexpr double kRetryAfterSeconds = 1;
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/agent/heartbeat_receiver.cc
+++ b/src/rooksill/agent/heartbeat_receiver.cc
@@ -5,7 +5,7 @@
 namespace rooksill::agent {
 
 namespace {
-// A task that has its image.
+// Returns whether the task's image is present on the machine.
 bool is_image_in_use(const wire::ReportedTask& task) {
   return task.phase == wire::TaskPhase::kRunning || task.phase == wire::TaskPhase::kWaitingForGang;
 }
@@ -24,9 +24,11 @@
   const HeartbeatVersion version = version_of(heartbeat);
   if (worker.has_reported && version <= worker.version) return;
   if (!worker.has_reported || version.agent_epoch != worker.version.agent_epoch)
-    context_.info("agent", "machine {} reports: agent epoch {} token {} tasks {}", worker.name,
-                  version.agent_epoch, model::number(heartbeat.fencing_token),
-                  heartbeat.tasks.size());
+    context_.info(
+        "agent",
+        "machine {} sent its first heartbeat of agent epoch {}: fencing token {}, {} tasks",
+        worker.name, version.agent_epoch, model::number(heartbeat.fencing_token),
+        heartbeat.tasks.size());
   worker.has_reported = true;
   worker.version = version;
   worker.tokens.last_reported = heartbeat.fencing_token;
@@ -42,8 +44,8 @@
                                                   const wire::WorkerHeartbeat& heartbeat) {
   if (!heartbeat.termination_notice_s || worker.terminates_at) return;
   worker.terminates_at = context_.now.steady + *heartbeat.termination_notice_s;
-  context_.info("agent", "machine {} will be taken in {:.1f} s", worker.name,
-                *heartbeat.termination_notice_s);
+  context_.info("agent", "machine {} has a termination notice: the cloud reclaims it in {:.1f} s",
+                worker.name, *heartbeat.termination_notice_s);
 }
 
 void HeartbeatReceiver::update_image_cache(Worker& worker) {
--- a/src/rooksill/agent/heartbeat_receiver.h
+++ b/src/rooksill/agent/heartbeat_receiver.h
@@ -1,4 +1,4 @@
-// Takes over what a worker says of itself.
+// Applies received heartbeats to the worker table.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,17 @@
 
 namespace rooksill::agent {
 
-// A heartbeat comes as a report of the worker, or as its answer to a probe or a command.
+// Updates a worker from its heartbeats. A heartbeat is either sent periodically by the worker or
+// returned in its response to a probe or a command.
 class HeartbeatReceiver {
  public:
-  // `on_accepted` is called after each heartbeat that told something new.
+  // `on_accepted` is called after each heartbeat that was not a duplicate or outdated. All
+  // references must outlive the receiver.
   HeartbeatReceiver(runtime::Context& context, const store::Replica& replica, WorkerTable& workers,
                     FailureDetector& failure_detector, std::function<void()> on_accepted);
 
-  // Ignores late copies of older heartbeats: they carry older task lists.
+  // Applies the heartbeat to the worker and marks the worker as changed. Ignores delayed copies of
+  // older heartbeats, whose task lists are stale.
   void accept(Worker& worker, const wire::WorkerHeartbeat& heartbeat);
 
  private:
--- a/src/rooksill/agent/job_backoff.h
+++ b/src/rooksill/agent/job_backoff.h
@@ -1,4 +1,4 @@
-// Jobs whose tasks fail on machine after machine.
+// Backoff for jobs whose tasks fail on several machines.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,21 @@
 
 namespace rooksill::agent {
 
-// Decides whether a failed task is held against its machine or against its job, and delays the next
-// tries of a job that fails everywhere.
+// Decides whether the failure of a task is attributed to its machine or to its job, and delays
+// further attempts of a job that fails on several machines.
 class JobBackoff {
  public:
+  // What a failure is attributed to.
   enum class Cause { kMachine, kJob };
 
   explicit JobBackoff(runtime::Context& context) : context_(context) {}
 
-  // An attempt of one of the job's tasks ended with an error on the machine.
+  // Records that an attempt of one of the job's tasks ended with an error on the machine, and
+  // returns what the failure is attributed to. `attempt` is the attempt's number.
   Cause record_failure(const std::string& job, const std::string& machine, uint64_t attempt);
-  // Whether the job's tasks are not to be placed for now.
+  // Returns whether the job's tasks must not be placed yet.
   bool is_backing_off(const std::string& job) const;
+  // Returns whether a task of the job has failed on the machine.
   bool has_failed_on(const std::string& job, const std::string& machine) const;
 
  private:
--- a/src/rooksill/agent/reconciler.cc
+++ b/src/rooksill/agent/reconciler.cc
@@ -11,16 +11,18 @@
 using changes::TaskChange;
 using wire::WorkerCommand;
 
-constexpr int kFaultyConsecutiveFailures = 3;       // in a row that make a machine faulty
-constexpr size_t kFaultyDistinctJobs = 2;  // of which they have to be tasks
-// Start times are pruned once there are so many for each task, with some to spare.
+constexpr int kFaultyConsecutiveFailures = 3;  // consecutive failures that make a machine faulty
+constexpr size_t kFaultyDistinctJobs = 2;      // jobs that the failed tasks must belong to
+// `running_since` is pruned when it holds more than kStartTimesPerTask entries for each reported
+// task and kSpareTasks further ones.
 constexpr size_t kStartTimesPerTask = 4, kSpareTasks = 16;
 
 WorkerCommand make_stop_command(const wire::ReportedTask& task, double grace_s) {
   return {WorkerCommand::Op::kStop, task.task, task.attempt, grace_s};
 }
 
-// Exits that say nothing of the machine: the task was told to stop, or its gang ended it.
+// Returns whether an exit is no sign of a machine fault: the task was told to stop, or ended
+// because its gang was incomplete.
 bool is_intentional_exit(wire::ExitCause cause) {
   return cause == wire::ExitCause::kStopped || cause == wire::ExitCause::kGangMemberLost ||
          cause == wire::ExitCause::kGangIncomplete;
@@ -74,15 +76,15 @@
          task->attempt == reported.attempt;
 }
 
-// A task that should not be there.
-Reconciler::OptionalCommand Reconciler::reconcile_unexpected(const Worker& worker,
-                                                        const wire::ReportedTask& reported) const {
+// Handles a task that the store does not place on the worker in this attempt.
+Reconciler::OptionalCommand Reconciler::reconcile_unexpected(
+    const Worker& worker, const wire::ReportedTask& reported) const {
   if (reported.phase != wire::TaskPhase::kExited) return make_stop_command(reported, 0);
   if (!worker.tokens.are_earlier_commands_fenced()) return std::nullopt;
   return WorkerCommand{WorkerCommand::Op::kRemove, reported.task, reported.attempt, 0};
 }
 
-// A task that is where the store has it.
+// Handles a reported task that the store places on the worker.
 Reconciler::OptionalCommand Reconciler::reconcile_reported(Worker& worker,
                                                            const wire::ReportedTask& reported) {
   if (reported.phase == wire::TaskPhase::kExited) {
@@ -109,22 +111,24 @@
                                                        const model::Job& job) {
   if (job.over()) return make_stop_command(reported, 0);
   if (reported.phase == wire::TaskPhase::kSaving) return std::nullopt;
-  if (evicted_.contains(reported.task, reported.attempt)) return make_stop_command(reported, job.spec.save_s);
+  if (evicted_.contains(reported.task, reported.attempt))
+    return make_stop_command(reported, job.spec.save_s);
   const bool gang = job.spec.shape == model::Shape::kGang;
-  // Without one of them the others cannot go on, and those that wait for one another to start would
-  // wait in vain. The next attempt needs all of them gone.
+  // Once one task is lost, the others cannot continue, and those waiting for the gang to start
+  // would wait forever. The next attempt starts only after all of them have ended.
   if (gang && gangs_.has_lost_task(job)) return make_stop_command(reported, 0);
-  // What is not likely to complete before the machine is taken starts elsewhere at once, instead of
-  // when the machine has gone.
-  if (!worker.terminates_at || can_complete_in_time(worker, reported, job.spec)) return std::nullopt;
+  // A task that is unlikely to complete before the machine is reclaimed is stopped now, so that it
+  // restarts on another machine without waiting for this one to disappear.
+  if (!worker.terminates_at || can_complete_in_time(worker, reported, job.spec))
+    return std::nullopt;
   if (gang) gangs_.evict_all(job);
   return make_stop_command(reported, job.spec.save_s);
 }
 
-// A task that the store has on a worker, and the worker does not report. What was never started
-// there, or ended with the worker's agent epoch, is started (again) in place: its image is there,
-// and nothing has to be written. After a cut that outlasts the lease that is true of the tasks of
-// hundreds of machines at once.
+// Handles a task that the store places on a worker and the worker does not report. A task that was
+// never started there, or that ended with the worker's agent epoch, is started in place: its image
+// is cached there, and no write to the store is needed. After a network outage that outlasts the
+// lease, this applies to the tasks of hundreds of machines at once.
 Reconciler::OptionalCommand Reconciler::reconcile_unreported(Worker& worker,
                                                              const model::TaskRef& ref) {
   const uint64_t attempt = replica_.task(ref)->attempt;
@@ -136,9 +140,10 @@
   return std::nullopt;
 }
 
-// Not on a machine that is to go, nor where the team's share has been given to others since the
-// task ended there unwritten. Nor can a gang's task come back to an attempt that has run, or that
-// has lost another task.
+// Returns whether a task may be started in place. Not on a machine that is about to be removed or
+// drained, nor if the team exceeds its quota share: the share may have been transferred after the
+// task ended, before that end was written to the store. A gang's task cannot rejoin an attempt in
+// which it has already run or another task is lost.
 bool Reconciler::can_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job) {
   if (job.over() || worker.terminates_at || worker.failures.is_faulty) return false;
   if (workers_.is_draining(worker.name)) return false;
@@ -148,21 +153,20 @@
   return !exceeds_quota_(job.spec.team, worker);
 }
 
-// Whether a task is likely to complete before the machine is taken.
+// Returns whether a task is likely to complete before the machine is reclaimed.
 bool Reconciler::can_complete_in_time(const Worker& worker, const wire::ReportedTask& reported,
-                              const model::JobSpec& spec) const {
+                                      const model::JobSpec& spec) const {
   if (spec.shape == model::Shape::kService) return false;
   const double time_left_s = *worker.terminates_at - context_.now.steady - spec.save_s;
   if (reported.phase != wire::TaskPhase::kRunning) return spec.estimate_s < time_left_s;
   auto since = worker.running_since.find(reported.task);
-  const double elapsed_s = since == worker.running_since.end() ? 0 : context_.now.steady - since->second;
+  const double elapsed_s =
+      since == worker.running_since.end() ? 0 : context_.now.steady - since->second;
   return spec.estimate_s - elapsed_s < time_left_s;
 }
 
-// ---- losses and failures -------------------------------------------------------------------
-
 void Reconciler::record_loss(Worker& worker, const wire::ReportedTask& reported) {
-  context_.debug("agent", "task {} attempt {} ended on {}: cause {}",
+  context_.debug("agent", "task {} attempt {} exited on machine {}: cause {}",
                  wire::task_name(reported.task), reported.attempt, worker.name,
                  static_cast<int>(reported.cause));
   if (reported.cause == wire::ExitCause::kError)
@@ -173,8 +177,9 @@
   changes_.add(reported.task, TaskChange::lost(worker.name, worker.partition, reported.attempt));
 }
 
-// A machine on which task after task fails is returned; a job that fails on machine after machine
-// backs off by itself and is not held against them.
+// Attributes a task failure to its machine or its job. A machine with repeated failures is marked
+// faulty and returned to the cloud. A job that fails on several machines is delayed by its own
+// backoff, and its failures do not count against the machines.
 void Reconciler::record_failure(Worker& worker, const std::string& job, uint64_t attempt) {
   if (backoff_.record_failure(job, worker.name, attempt) == JobBackoff::Cause::kJob)
     return retract_failures(job);
@@ -187,10 +192,12 @@
       failures.failed_jobs.size() < kFaultyDistinctJobs)
     return;
   failures.is_faulty = true;
-  context_.info("agent", "machine {} fails task after task: to be returned", worker.name);
+  context_.info("agent",
+                "machine {} is faulty: tasks of several jobs failed on it; it is to be returned",
+                worker.name);
 }
 
-// Takes the job's failures back from all machines.
+// Removes the job's failures from the failure records of all machines.
 void Reconciler::retract_failures(const std::string& job) {
   for (auto& [name, worker] : workers_)
     if (worker.failures.failed_jobs.erase(job) != 0)
--- a/src/rooksill/agent/reconciler.h
+++ b/src/rooksill/agent/reconciler.h
@@ -1,4 +1,4 @@
-// Compares what workers report with what the store says.
+// Reconciles the tasks that workers report with the state in the store.
 #pragma once
 
 #include <cstddef>
@@ -21,16 +21,17 @@
 
 namespace rooksill::agent {
 
-// Derives from each difference either a command to the worker or a change of the task's state. A
-// task with a change in the queue is left alone until the store has it.
+// Turns each difference into either a command to the worker or a change of the task's state. A task
+// with a change in the queue is skipped until the change is written to the store.
 //
-// A worker's word that a task is absent or has ended counts only if no earlier command can still
-// reach it (WorkerTokens::earlier_commands_fenced): such a command might start the task again.
+// A report that a task is absent or has exited is trusted only if the worker rejects all earlier
+// commands (WorkerTokens::are_earlier_commands_fenced): such a command might start the task again.
 class Reconciler {
  public:
-  // Whether the team uses more than its share of its limit in the worker's partition.
+  // Returns whether the team uses more than its quota share in the worker's partition.
   using QuotaCheck = std::function<bool(const std::string& team, Worker&)>;
 
+  // All references must outlive the reconciler.
   struct Dependencies {
     runtime::Context& context;
     const store::Replica& replica;
@@ -43,16 +44,17 @@
 
   Reconciler(const Dependencies& dependencies, QuotaCheck exceeds_quota);
 
-  // The commands that the worker needs now. Changes of task states go into the queue, where later
-  // steps of the same pass see them.
+  // Returns the commands that the worker has to execute, and adds changes of task states to the
+  // queue, where later steps of the same pass see them.
   std::vector<wire::WorkerCommand> reconcile(Worker& worker);
 
  private:
   using OptionalCommand = std::optional<wire::WorkerCommand>;
 
-  // Whether the store has the reported attempt on this worker.
+  // Whether the reported attempt is the one that the store places on this worker.
   bool is_placed_on(const Worker& worker, const wire::ReportedTask& reported) const;
-  OptionalCommand reconcile_unexpected(const Worker& worker, const wire::ReportedTask& reported) const;
+  OptionalCommand reconcile_unexpected(const Worker& worker,
+                                       const wire::ReportedTask& reported) const;
   OptionalCommand reconcile_reported(Worker& worker, const wire::ReportedTask& reported);
   void reconcile_exited(Worker& worker, const wire::ReportedTask& reported);
   OptionalCommand reconcile_unreported(Worker& worker, const model::TaskRef& ref);
@@ -61,7 +63,7 @@
                                  const model::Job& job);
   bool can_restart(Worker& worker, const model::TaskRef& ref, const model::Job& job);
   bool can_complete_in_time(const Worker& worker, const wire::ReportedTask& reported,
-                    const model::JobSpec& spec) const;
+                            const model::JobSpec& spec) const;
 
   void record_loss(Worker& worker, const wire::ReportedTask& reported);
   void record_failure(Worker& worker, const std::string& job, uint64_t attempt);
@@ -78,7 +80,7 @@
   GangAttempts gangs_;
 };
 
-// Takes the starts out and says how many there were.
+// Removes the start commands and returns how many there were.
 size_t remove_starts(std::vector<wire::WorkerCommand>& commands);
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/renewal_permit.cc
+++ b/src/rooksill/agent/renewal_permit.cc
@@ -3,7 +3,7 @@
 namespace rooksill::agent {
 
 namespace {
-// Part of the time by which a cancellation's limit exceeds a lease. The rest covers clock drift.
+// Usable share of the time by which `cancel_s` exceeds a lease. The remainder covers clock drift.
 constexpr double kUsableRatio = 0.95;
 }  // namespace
 
--- a/src/rooksill/agent/renewal_permit.h
+++ b/src/rooksill/agent/renewal_permit.h
@@ -1,4 +1,4 @@
-// Whether this controller may let its workers' tasks go on.
+// Decides whether this controller may renew the leases of its workers' tasks.
 #pragma once
 
 #include "rooksill/membership/cancellations.h"
@@ -6,16 +6,19 @@
 
 namespace rooksill::agent {
 
-// An answer to a worker's report lets its tasks live for another lease. A job may have been
-// cancelled since this controller last knew of all cancellations, and the job's tasks have to be
-// gone within `cancel_s` then. That nobody can cancel anything now, since the store is away for
-// all, says nothing of what another controller confirmed just before. docs/safety.md has the
-// argument.
+// The response to a worker's heartbeat renews the lease of its tasks. A job may have been cancelled
+// after the time up to which this controller knows all cancellations, and the tasks of a cancelled
+// job must end within `cancel_s`. So the permit depends on the age of that knowledge. An outage of
+// the store for all controllers, during which no job can be cancelled, does not extend it: another
+// controller may have confirmed a cancellation just before the outage. See docs/safety.md for the
+// full argument.
 class RenewalPermit {
  public:
+  // Both arguments must outlive the permit.
   RenewalPermit(const runtime::Context& context, const membership::Cancellations& cancellations)
       : context_(context), cancellations_(cancellations) {}
 
+  // Returns whether leases may be renewed now.
   bool is_granted() const;
 
  private:
--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -1,5 +1,5 @@
-// What the owner of a partition knows of one of the partition's workers. A worker is the agent that
-// runs tasks on one machine; it has the machine's name.
+// The state that a partition owner keeps for each worker of its partitions. A worker is the agent
+// that runs tasks on one machine; it is identified by the machine's name.
 #pragma once
 
 #include <algorithm>
@@ -19,106 +19,114 @@
 #include "rooksill/wire/controller_messages.h"
 #include "rooksill/wire/worker_codec.h"
 
-// All times here are seconds of the controller's steady clock.
+// All times in this file are seconds of the controller's steady clock.
 namespace rooksill::agent {
 
-// Silence, in report intervals, after which a worker is probed.
+// Heartbeat intervals without contact after which a worker is probed.
 inline constexpr double kProbeAfterHeartbeats = 1.15;
 
-// The fencing tokens between this controller and a worker.
+// The fencing tokens used between this controller and one worker.
 struct WorkerTokens {
-  // Sent with every answer and command. Never falls.
+  // Sent with every heartbeat response and command. Never decreases.
   model::FencingToken current = model::kNoFencingToken;
-  // The highest token of a direct command that was never acknowledged. Such a command may still be
-  // carried out until the worker has seen a higher token.
+  // The highest token of a direct command that was never acknowledged. The worker may still execute
+  // such a command until it has seen a higher token.
   model::FencingToken highest_unacknowledged = model::kNoFencingToken;
-  // Token of the direct command under way.
+  // The token of the direct command in flight; kNoFencingToken if there is none.
   model::FencingToken in_flight = model::kNoFencingToken;
-  // The highest token that the worker had seen when it last reported.
+  // The highest token that the worker had seen when it sent its latest accepted heartbeat.
   model::FencingToken last_reported = model::kNoFencingToken;
 
+  // Returns whether a direct command is in flight.
   bool has_command_in_flight() const { return in_flight != model::kNoFencingToken; }
-  // Whether no earlier command can reach the worker any more.
-  bool are_earlier_commands_fenced() const { return last_reported > std::max(highest_unacknowledged, in_flight); }
+  // Returns whether the worker rejects every command sent so far, should one still arrive.
+  bool are_earlier_commands_fenced() const {
+    return last_reported > std::max(highest_unacknowledged, in_flight);
+  }
 };
 
-// Orders a worker's heartbeats: a late copy of an older one has a lower version.
+// Orders the heartbeats of a worker, so that a delayed duplicate is recognized by its lower
+// version.
 struct HeartbeatVersion {
-  uint64_t agent_epoch = 0;  // rises when the agent restarts
-  uint64_t sequence = 0;     // rises with each heartbeat of an epoch
+  uint64_t agent_epoch = 0;  // increases when the agent restarts
+  uint64_t sequence = 0;     // increases with each heartbeat of an epoch
   auto operator<=>(const HeartbeatVersion&) const = default;
 };
 
+// Returns the version of a heartbeat.
 inline HeartbeatVersion version_of(const wire::WorkerHeartbeat& heartbeat) {
   return {heartbeat.agent_epoch, heartbeat.sequence};
 }
 
-// When a worker was heard.
+// Times of the latest messages received from a worker.
 struct WorkerContact {
-  // Any message of the worker: its own reports, and its answers to probes and commands.
+  // The last message of any kind: a periodic heartbeat, or a response to a probe or a command.
   double last_contact_at = 0;
-  // When it was heard again after a silence.
+  // When contact was restored after the worker had been unreachable.
   double recovered_at = 0;
-  // The last report that the worker sent of its own accord. Only an answer to such a report renews
-  // the lease of its tasks.
+  // The last heartbeat that the worker sent on its own schedule. Only the response to such a
+  // heartbeat renews the lease of its tasks.
   double last_periodic_heartbeat_at = 0;
-  // When the tasks' lease ends at the latest, if no further report is answered.
+  // The latest time at which the lease of its tasks expires if no further heartbeat is answered.
   double lease_expires_at = 0;
 };
 
-// Probes are sent to a worker that was not heard for a while.
+// Probing of a worker that has not been in contact for kProbeAfterHeartbeats.
 struct ProbeState {
-  double next_probe_at = 0;
+  double next_probe_at = 0;  // no probe is sent before this time
   bool is_in_flight = false;
-  int consecutive_failures = 0;     // in a row
-  bool has_failed = false;  // enough of them to take the worker for unreachable
+  int consecutive_failures = 0;
+  bool has_failed = false;  // enough consecutive failures to consider the worker unreachable
 
+  // Resets the failures after contact with the worker.
   void clear_failures() {
     consecutive_failures = 0;
     has_failed = false;
   }
 };
 
-// Failures of tasks that are held against the machine.
+// Task failures that are attributed to the machine.
 struct FailureRecord {
   int consecutive_failures = 0;
-  std::set<std::string> failed_jobs;  // those that failed
-  bool is_faulty = false;         // the machine is to be returned
-  double avoid_until = 0;      // no task is placed there before
+  std::set<std::string> failed_jobs;  // IDs of the jobs whose tasks failed
+  bool is_faulty = false;             // the machine is to be returned to the cloud
+  double avoid_until = 0;             // no task is placed on the machine before this time
 };
 
+// One worker of a partition owned by this controller.
 struct Worker {
-  std::string name;
-  std::string address;  // empty: not known
+  std::string name;     // of its machine
+  std::string address;  // empty if unknown
   int partition = 0;
   WorkerTokens tokens;
 
-  // What it reported last; nothing is known of its tasks before the first report.
-  bool has_reported = false;
+  // Contents of its latest heartbeat. Before the first one, which tasks it runs is unknown.
+  bool has_reported = false;  // a heartbeat was accepted since this controller owns the partition
   HeartbeatVersion version;
   std::vector<wire::ReportedTask> tasks;
-  std::optional<double> terminates_at;  // when the cloud takes the machine back, once announced
+  std::optional<double>
+      terminates_at;  // when the cloud reclaims the machine, once it has announced it
 
   WorkerContact contact;
   ProbeState probe;
-  bool is_unreachable = false;  // out of reach for so long that the machine may be given up
+  bool is_unreachable = false;  // for so long that the machine may be replaced
   FailureRecord failures;
   ImageCache images;
   std::map<model::TaskRef, double> running_since;  // when a task was first reported running
-  std::set<model::TaskRef> pending_placements;     // decided and not yet in the store
-  double next_command_at = 0;                      // no direct command before
+  std::set<model::TaskRef> pending_placements;     // decided, but not yet written to the store
+  double next_command_at = 0;                      // no direct command is sent before this time
 
   placement::MachineCapacity capacity;
-  bool is_capacity_stale = true;  // `capacity` has to be computed anew
+  bool is_capacity_stale = true;  // `capacity` has to be recomputed
 
-  bool is_queued_as_changed = false;           // in the table's list of workers that changed
-  bool has_received_all_commands = false;  // its last answer carried every command there was
-  bool has_status_change = true;     // since its status was last published
-  wire::MachineStatus published_status;
+  bool is_queued_as_changed = false;     // is in the worker table's list of changed workers
+  bool was_sent_all_commands = false;    // the last heartbeat response left out no command
+  bool has_status_change = true;         // since its status was last published
+  wire::MachineStatus published_status;  // the status as last published
 };
 
-// Seconds since the worker was last heard. While this process stood still it could hear nobody, so
-// that time is not counted.
+// Returns the seconds since the last contact with the worker. This process could not receive
+// anything while it was suspended, so only the time since it resumed is counted.
 inline double seconds_since_contact(const Worker& worker, const runtime::Context& context) {
   return context.now.steady - std::max(worker.contact.last_contact_at, context.resumed_at);
 }
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -7,7 +7,8 @@
 namespace rooksill::agent {
 
 namespace {
-// Turns in which every status and every address is published again.
+// Calls of collect_address_updates() within which every status and every address is published
+// again.
 constexpr size_t kRepublishTurns = 16;
 }  // namespace
 
@@ -27,7 +28,7 @@
   worker.name = name;
   worker.partition = partition;
   worker.tokens.current = model::first_worker_token(lease.fencing_token);
-  // Any former owner's command may still be under way.
+  // A command of a previous owner may still be in flight.
   worker.tokens.highest_unacknowledged = model::previous(worker.tokens.current);
   worker.contact.last_contact_at = worker.contact.last_periodic_heartbeat_at = context_.now.steady;
   auto address = addresses_.find(name);
@@ -48,7 +49,7 @@
 
 void WorkerTable::mark_changed(Worker& worker) {
   worker.is_capacity_stale = worker.has_status_change = true;
-  worker.has_received_all_commands = false;
+  worker.was_sent_all_commands = false;
   if (!worker.is_queued_as_changed) defer(worker);
 }
 
@@ -57,7 +58,9 @@
   changed_names_.push_back(worker.name);
 }
 
-std::vector<std::string> WorkerTable::extract_changed_names() { return std::exchange(changed_names_, {}); }
+std::vector<std::string> WorkerTable::extract_changed_names() {
+  return std::exchange(changed_names_, {});
+}
 
 Worker* WorkerTable::claim_changed(const std::string& name) {
   Worker* worker = find(name);
@@ -94,7 +97,8 @@
   std::vector<wire::Address> out = std::exchange(new_addresses_, {});
   size_t position = ++republish_turn_;
   for (const auto& [name, worker] : workers_)
-    if (++position % kRepublishTurns == 0 && !worker.address.empty()) out.push_back({name, worker.address});
+    if (++position % kRepublishTurns == 0 && !worker.address.empty())
+      out.push_back({name, worker.address});
   return out;
 }
 
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -15,61 +15,76 @@
 
 namespace rooksill::agent {
 
-// Owns the Worker values. A reference to one stays valid until that worker is removed.
+// Owns the Worker objects, keyed by machine name. A reference to a worker stays valid until that
+// worker is removed.
 class WorkerTable {
  public:
+  // Workers by machine name.
   using Workers = std::unordered_map<std::string, Worker>;
   using Visitor = std::function<void(Worker&)>;
 
   WorkerTable(const runtime::Context& context, const store::Replica& replica)
       : context_(context), replica_(replica) {}
 
-  // Null if there is no such worker.
+  // Returns the worker of a machine, or null if there is none.
   Worker* find(const std::string& name);
   const Worker* find(const std::string& name) const;
-  // Adds the worker of a machine that the store lists in a partition owned here.
+  // Adds the worker of a machine that the store lists in a partition owned by this controller, and
+  // marks it as changed.
   void add(const std::string& name, int partition);
+  // Removes a worker, if it is in the table.
   void remove(const std::string& name) { workers_.erase(name); }
-  // `before_removal` is called for each worker that is about to be removed.
+  // Removes all workers of a partition; calls `before_removal` for each of them first.
   void remove_partition(int partition, const Visitor& before_removal);
 
+  // Iterates over the workers in no particular order.
   Workers::iterator begin() { return workers_.begin(); }
   Workers::iterator end() { return workers_.end(); }
   Workers::const_iterator begin() const { return workers_.begin(); }
   Workers::const_iterator end() const { return workers_.end(); }
+  // Returns the number of workers.
   size_t size() const { return workers_.size(); }
+  // Returns whether this controller has no workers.
   bool empty() const { return workers_.empty(); }
 
-  // Something that concerns the worker changed: its capacity and status are computed anew, and it
-  // is compared with the store at the end of this pass.
+  // Records a change that concerns the worker: its capacity and status are recomputed, and it is
+  // reconciled with the store at the end of the current pass.
   void mark_changed(Worker& worker);
-  // Keeps the worker for the next pass, without anything new about it.
+  // Puts the worker into the list of changed workers for the next pass, although nothing about it
+  // has changed.
   void defer(Worker& worker);
-  // The names of the workers that changed, in the order in which they did. The list starts over.
+  // Returns the names of the changed workers in the order of their changes, and clears the list.
   std::vector<std::string> extract_changed_names();
-  // Resets the mark of a worker from that list, so that what changes from now on puts it into the
-  // next one. Null if the worker has been removed, or was claimed already.
+  // Clears the changed mark of a worker from that list, so that a later change puts it into the
+  // next list. Returns null if the worker has been removed or was already claimed.
   Worker* claim_changed(const std::string& name);
 
-  // Drained machines take no tasks. A name stays marked while its worker is not in the table.
+  // Returns whether a machine is draining and accepts no new tasks. A name stays marked while its
+  // worker is not in the table.
   bool is_draining(const std::string& machine) const { return draining_.count(machine) != 0; }
+  // Marks machines as draining, in addition to those already marked.
   void drain(const std::vector<std::string>& machines);
+  // Clears the draining mark of all machines.
   void clear_draining();
 
-  // Addresses of workers in all partitions, as far as anybody has told.
+  // Records the address of a worker of any partition. An empty address is ignored.
   void record_address(const std::string& machine, const std::string& address);
+  // Removes the address of a machine, if it is known.
   void remove_address(const std::string& machine) { addresses_.erase(machine); }
+  // Returns the known addresses of workers in all partitions, by machine name.
   const std::unordered_map<std::string, std::string>& addresses() const { return addresses_; }
 
-  // For the other controllers: addresses learned since the last call, and some of the others in
-  // turn, so that what was lost on the way is made good. Begins the next turn.
+  // Returns addresses to send to the other controllers: those learned since the last call, and a
+  // rotating subset of all others, so that an update lost in transit is eventually repeated.
+  // Advances the rotation that collect_due_statuses uses too.
   std::vector<wire::Address> collect_address_updates();
-  // The workers whose status may have changed since the last call, and those whose turn it is; with
-  // `all` it is everybody's.
+  // A worker whose status may have to be published.
   struct DueStatus {
     Worker* worker;
-    bool must_republish;  // published again even if it is the same
+    bool must_republish;  // publish even an unchanged status
   };
+  // Returns the workers whose status may have changed since the last call, and those that the
+  // rotation has reached. With `include_all`, every worker is due for republication.
   std::vector<DueStatus> collect_due_statuses(bool include_all);
 
  private:
--- a/src/rooksill/agent/zone_monitor.cc
+++ b/src/rooksill/agent/zone_monitor.cc
@@ -5,11 +5,12 @@
 namespace rooksill::agent {
 
 namespace {
-constexpr int kSampleSize = 10;  // workers of a zone
-// A zone that was reachable is judged by at least so many: a few say little of it.
+constexpr int kSampleSize = 10;  // in workers
+// A zone is declared unreachable only from a sample of at least this size: fewer workers say little
+// about the zone.
 constexpr int kMinSampleSize = kSampleSize / 2;
-constexpr double kSampleTimeoutHeartbeats = 0.2;  // timeout of a sample's probes, in report intervals
-constexpr double kEvaluateAfterTimeouts = 1.2;     // timeouts after which a sample is judged
+constexpr double kSampleTimeoutHeartbeats = 0.2;  // timeout of a sample's probes
+constexpr double kEvaluateAfterTimeouts = 1.2;    // multiple of that timeout
 }  // namespace
 
 void ZoneMonitor::probe_sample(const std::string& zone) {
@@ -36,7 +37,8 @@
   std::vector<const Worker*> out;
   for (const auto& [name, worker] : workers_) {
     const model::Machine* machine = replica_.machine(name);
-    if (machine != nullptr && machine->zone == zone && worker.has_reported && !worker.address.empty())
+    if (machine != nullptr && machine->zone == zone && worker.has_reported &&
+        !worker.address.empty())
       out.push_back(&worker);
   }
   return out;
@@ -44,29 +46,34 @@
 
 void ZoneMonitor::on_response(const std::string& zone, double started_at) {
   auto sample = samples_.find(zone);
-  if (sample != samples_.end() && sample->second.started_at == started_at) ++sample->second.responses_received;
+  if (sample != samples_.end() && sample->second.started_at == started_at)
+    ++sample->second.responses_received;
 }
 
 void ZoneMonitor::evaluate_samples() {
-  for (auto& [zone, last] : samples_) {
-    if (!last.is_evaluated && is_sample_complete(last)) evaluate(zone, last);
-    if (last.verdict == Verdict::kUnreachable && !workers_.empty()) probe_sample(zone);
+  for (auto& [zone, sample] : samples_) {
+    if (!sample.is_evaluated && is_sample_complete(sample)) evaluate(zone, sample);
+    if (sample.verdict == Verdict::kUnreachable && !workers_.empty()) probe_sample(zone);
   }
 }
 
 bool ZoneMonitor::is_sample_complete(const Sample& sample) const {
   const double elapsed_s = context_.now.steady - sample.started_at;
-  return elapsed_s > kEvaluateAfterTimeouts * kSampleTimeoutHeartbeats * context_.settings.platform.report_s;
+  return elapsed_s >
+         kEvaluateAfterTimeouts * kSampleTimeoutHeartbeats * context_.settings.platform.report_s;
 }
 
 void ZoneMonitor::evaluate(const std::string& zone, Sample& sample) {
   const bool was_unreachable = sample.verdict == Verdict::kUnreachable;
-  // Few workers are enough once the zone was found unreachable while there were more.
+  // A zone that is already unreachable stays so on a smaller sample: it was declared unreachable
+  // when more workers were available.
   const int min_sent = was_unreachable ? 1 : kMinSampleSize;
-  const bool is_unreachable = sample.probes_sent >= min_sent && sample.responses_received * 2 < sample.probes_sent;
+  const bool is_unreachable =
+      sample.probes_sent >= min_sent && sample.responses_received * 2 < sample.probes_sent;
   if (is_unreachable != was_unreachable)
-    context_.info("agent", "zone {}: {} of {} workers probed answer, it is {}", zone,
-                  sample.responses_received, sample.probes_sent, is_unreachable ? "unreachable" : "reachable again");
+    context_.info("agent", "zone {}: {} of {} probed workers responded; the zone is {}", zone,
+                  sample.responses_received, sample.probes_sent,
+                  is_unreachable ? "unreachable" : "reachable again");
   sample.verdict = is_unreachable ? Verdict::kUnreachable : Verdict::kReachable;
   sample.is_evaluated = true;
   is_every_zone_unreachable_ = is_unreachable && is_every_worker_in_unreachable_zone();
--- a/src/rooksill/agent/zone_monitor.h
+++ b/src/rooksill/agent/zone_monitor.h
@@ -1,4 +1,4 @@
-// Which zones' workers this controller cannot reach.
+// Detects zones whose workers this controller cannot reach.
 #pragma once
 
 #include <map>
@@ -11,34 +11,40 @@
 
 namespace rooksill::agent {
 
-// One worker that does not answer may be the first of a zone that is cut off. A sample of the
-// zone's other workers is probed at once, so that by the time the worker is judged it is known
-// whether it is alone: machines of an unreachable zone are kept, a single silent one is replaced.
+// A worker that does not respond may be the first one of a zone that is cut off from the network.
+// A sample of the zone's workers is probed immediately, so that the state of the zone is known
+// before the worker's timeout ends: machines of an unreachable zone are kept, while a single
+// unreachable machine is replaced.
 class ZoneMonitor {
  public:
+  // All arguments must outlive the monitor.
   ZoneMonitor(runtime::Context& context, const store::Replica& replica, WorkerTable& workers)
       : context_(context), replica_(replica), workers_(workers) {}
 
-  // Probes a sample of the zone, at most once in a report interval.
+  // Probes a sample of the zone's workers, at most once per heartbeat interval.
   void probe_sample(const std::string& zone);
-  // Judges the samples whose time is up. A zone found unreachable is sampled again and again.
+  // Evaluates the samples whose timeout has passed. Samples unreachable zones again until they are
+  // reachable.
   void evaluate_samples();
+  // Discards all samples and verdicts.
   void clear();
 
-  // In ascending order.
+  // Returns the unreachable zones in ascending order.
   std::vector<std::string> unreachable_zones() const;
-  // No zone with workers in the table answered when it was last judged: it is this controller that
-  // is cut off, and it need not wait until each worker is silent to know.
+  // Returns whether every zone with workers in the table was unreachable at the latest evaluation.
+  // Then this controller is the one that is cut off, and this is known before each of its workers
+  // has become unresponsive.
   bool is_every_zone_unreachable() const { return is_every_zone_unreachable_; }
 
  private:
   enum class Verdict { kReachable, kUnreachable };
+  // Probes sent to one zone, and the zone's state.
   struct Sample {
     double started_at = -1e9;  // steady clock
     int probes_sent = 0;
     int responses_received = 0;
     bool is_evaluated = true;
-    Verdict verdict = Verdict::kReachable;  // of the last sample that was judged
+    Verdict verdict = Verdict::kReachable;  // of the last evaluated sample
   };
 
   std::vector<const Worker*> reported_workers_in(const std::string& zone) const;
