--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -18,8 +18,8 @@
 constexpr int kUnreachableProbeFailures = 2;  // consecutive failures that make a worker unreachable
 constexpr double kMaxProbesPerHeartbeat = 10;  // to one worker
 constexpr double kProbeTimeoutHeartbeats = 0.25;
-constexpr double kNoAddressTimeoutHeartbeats =
-    2;  // without contact, for a worker without an address
+// Time without contact after which a worker without an address counts as failed.
+constexpr double kNoAddressTimeoutHeartbeats = 2;
 }  // namespace
 
 FailureDetector::FailureDetector(runtime::Context& context, const store::Replica& replica,
@@ -34,7 +34,7 @@
 void FailureDetector::check() {
   // If most workers have stopped their heartbeats, this controller is the one that does not receive
   // them, and the workers are not marked as unreachable for it.
-  const bool are_stopped_unreachable = do_most_send_heartbeats();
+  const bool should_mark_stopped_workers = do_most_send_heartbeats();
   SelfCheck::ResponseCounts counts;
   for (auto& [name, worker] : workers_) {
     probe_if_due(worker);
@@ -42,7 +42,7 @@
     if (is_response_expected(worker)) ++counts.expected;
     if (unresponsive) ++counts.unresponsive;
     set_unreachable(worker, (unresponsive && is_timeout_exceeded(worker)) ||
-                                (are_stopped_unreachable && has_stopped_heartbeats(worker)));
+                                (should_mark_stopped_workers && has_stopped_heartbeats(worker)));
   }
   const auto verdict = self_check_.update(counts, zones_.is_every_zone_unreachable());
   if (verdict == SelfCheck::Verdict::kReconnected) zones_.clear();
--- a/src/rooksill/agent/heartbeat_endpoint.h
+++ b/src/rooksill/agent/heartbeat_endpoint.h
@@ -21,7 +21,9 @@
 //   200  accepted; the body carries commands for the worker
 //   400  the request body is not a heartbeat
 //   421  the worker belongs to another controller, whose label is in the body if it is known
-//   503  retry later: this controller's view of the store or of cancellations is not current
+//   503  retry later: the partition is not acquired yet, or this controller's knowledge of the
+//   store
+//        or of cancellations is not current
 class HeartbeatEndpoint {
  public:
   // All references must outlive the endpoint.
--- a/src/rooksill/agent/heartbeat_receiver.cc
+++ b/src/rooksill/agent/heartbeat_receiver.cc
@@ -26,7 +26,7 @@
   if (!worker.has_reported || version.agent_epoch != worker.version.agent_epoch)
     context_.info(
         "agent",
-        "machine {} sent its first heartbeat of agent epoch {}: fencing token {}, {} tasks",
+        "received first heartbeat of machine {} with agent epoch {}: fencing token {}, {} tasks",
         worker.name, version.agent_epoch, model::number(heartbeat.fencing_token),
         heartbeat.tasks.size());
   worker.has_reported = true;
--- a/src/rooksill/agent/zone_monitor.cc
+++ b/src/rooksill/agent/zone_monitor.cc
@@ -83,7 +83,7 @@
   return std::all_of(workers_.begin(), workers_.end(), [this](const auto& entry) {
     const auto& [name, worker] = entry;
     const model::Machine* machine = replica_.machine(name);
-    if (machine == nullptr || !worker.reported) return true;
+    if (machine == nullptr || !worker.has_reported) return true;
     auto sample = samples_.find(machine->zone);
     return sample != samples_.end() && sample->second.verdict == Verdict::kUnreachable;
   });
