--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -39,7 +39,8 @@
 
   // Returns whether a direct command is in flight.
   bool has_command_in_flight() const { return in_flight != model::kNoFencingToken; }
-  // Returns whether the worker rejects every command sent so far, should one still arrive.
+  // Returns whether no earlier command can take effect on the worker any more: it has seen a token
+  // above those of all unacknowledged and in-flight commands.
   bool are_earlier_commands_fenced() const {
     return last_reported > std::max(highest_unacknowledged, in_flight);
   }
@@ -104,8 +105,7 @@
   bool has_reported = false;  // a heartbeat was accepted since this controller owns the partition
   HeartbeatVersion version;
   std::vector<wire::ReportedTask> tasks;
-  std::optional<double>
-      terminates_at;  // when the cloud reclaims the machine, once it has announced it
+  std::optional<double> terminates_at;  // when the cloud reclaims the machine, once announced
 
   WorkerContact contact;
   ProbeState probe;
