--- a/src/rooksill/agent/heartbeat_receiver.cc
+++ b/src/rooksill/agent/heartbeat_receiver.cc
@@ -5,8 +5,8 @@
 namespace rooksill::agent {
 
 namespace {
-// A task that has its image.
-bool image_in_use(const wire::ReportedTask& task) {
+// Returns whether the task's image is present on the machine.
+bool is_image_in_use(const wire::ReportedTask& task) {
   return task.phase == wire::TaskPhase::kRunning || task.phase == wire::TaskPhase::kWaitingForGang;
 }
 }  // namespace
@@ -22,18 +22,20 @@
 
 void HeartbeatReceiver::accept(Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
   const HeartbeatVersion version = version_of(heartbeat);
-  if (worker.reported && version <= worker.version) return;
-  if (!worker.reported || version.agent_epoch != worker.version.agent_epoch)
-    context_.info("agent", "machine {} reports: agent epoch {} token {} tasks {}", worker.name,
-                  version.agent_epoch, model::number(heartbeat.fencing_token),
-                  heartbeat.tasks.size());
-  worker.reported = true;
+  if (worker.has_reported && version <= worker.version) return;
+  if (!worker.has_reported || version.agent_epoch != worker.version.agent_epoch)
+    context_.info(
+        "agent",
+        "received first heartbeat of machine {} with agent epoch {}: fencing token {}, {} tasks",
+        worker.name, version.agent_epoch, model::number(heartbeat.fencing_token),
+        heartbeat.tasks.size());
+  worker.has_reported = true;
   worker.version = version;
-  worker.tokens.seen = heartbeat.fencing_token;
+  worker.tokens.last_reported = heartbeat.fencing_token;
   failure_detector_.record_contact(worker);
   worker.tasks = heartbeat.tasks;
   record_termination_notice(worker, heartbeat);
-  record_images(worker);
+  update_image_cache(worker);
   workers_.mark_changed(worker);
   on_accepted_();
 }
@@ -42,13 +44,13 @@
                                                   const wire::WorkerHeartbeat& heartbeat) {
   if (!heartbeat.termination_notice_s || worker.terminates_at) return;
   worker.terminates_at = context_.now.steady + *heartbeat.termination_notice_s;
-  context_.info("agent", "machine {} will be taken in {:.1f} s", worker.name,
-                *heartbeat.termination_notice_s);
+  context_.info("agent", "machine {} has a termination notice: the cloud reclaims it in {:.1f} s",
+                worker.name, *heartbeat.termination_notice_s);
 }
 
-void HeartbeatReceiver::record_images(Worker& worker) {
+void HeartbeatReceiver::update_image_cache(Worker& worker) {
   for (const auto& task : worker.tasks) {
-    const model::Job* job = image_in_use(task) ? replica_.job(task.task.job) : nullptr;
+    const model::Job* job = is_image_in_use(task) ? replica_.job(task.task.job) : nullptr;
     if (job != nullptr) worker.images.touch(job->image, job->spec.image_gb);
   }
   const model::Machine* machine = replica_.machine(worker.name);
--- a/src/rooksill/partition/capacity_tracker.cc
+++ b/src/rooksill/partition/capacity_tracker.cc
@@ -10,7 +10,7 @@
 namespace rooksill::partition {
 
 const placement::MachineCapacity& CapacityTracker::capacity(agent::Worker& worker) {
-  if (worker.capacity_stale) recompute(worker);
+  if (worker.is_capacity_stale) recompute(worker);
   return worker.capacity;
 }
 
@@ -20,7 +20,7 @@
 }
 
 void CapacityTracker::recompute(agent::Worker& worker) {
-  worker.capacity_stale = false;
+  worker.is_capacity_stale = false;
   remove_usage(worker);
   worker.capacity = capacity_without_tasks(worker);
   if (replica_.machine(worker.name) == nullptr) return;
--- a/src/rooksill/partition/owner_placement.cc
+++ b/src/rooksill/partition/owner_placement.cc
@@ -18,12 +18,13 @@
 }  // namespace
 
 bool PartitionOwner::is_schedulable(const agent::Worker& worker) const {
-  const bool is_responding = agent::seconds_silent(worker, context_) <
-                                 agent::kProbeReports * context_.settings.platform.report_s ||
-                             !worker.probe.failed;
-  return worker.capacity.type != nullptr && worker.reported && is_responding &&
-         !worker.failures.faulty && !worker.terminates_at && !workers_.draining(worker.name) &&
-         worker.failures.avoid_until <= context_.now.steady;
+  const bool is_responding =
+      agent::seconds_since_contact(worker, context_) <
+          agent::kProbeAfterHeartbeats * context_.settings.platform.report_s ||
+      !worker.probe.has_failed;
+  return worker.capacity.type != nullptr && worker.has_reported && is_responding &&
+         !worker.failures.is_faulty && !worker.terminates_at &&
+         !workers_.is_draining(worker.name) && worker.failures.avoid_until <= context_.now.steady;
 }
 
 std::vector<agent::Worker*> PartitionOwner::schedulable_workers() {
@@ -79,7 +80,7 @@
   quota_usage_.invalidate_shares();
   eviction_budget_.refill(client_.writes_per_s(), context_.now.steady);
   const auto has_failed_on = [this](const std::string& job, const std::string& machine) {
-    return job_backoff_.failed_on(job, machine);
+    return job_backoff_.has_failed_on(job, machine);
   };
   PlacementPass pass({context_, replica_, owned_partitions_, changes_, workers_, capacities_,
                       quota_usage_, evicted_tasks_, has_failed_on},
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -98,7 +98,9 @@
   // ones to make up for lost messages. Returns all statuses if `all` is set.
   std::vector<wire::MachineStatus> collect_status_updates(bool all);
   // Returns the worker addresses learned since the last call, plus a rotating subset of the others.
-  std::vector<wire::Address> collect_address_updates() { return workers_.take_addresses(); }
+  std::vector<wire::Address> collect_address_updates() {
+    return workers_.collect_address_updates();
+  }
   // Returns the usage of teams with a limited quota in the owned partitions.
   std::vector<wire::QuotaUse> quota_usage() const;
   // Returns the number of shards with changes that are still to be sent to the store.
@@ -109,21 +111,21 @@
   bool owns(int partition) const { return owned_partitions_.owns(partition); }
   // Returns whether nearly all workers are unreachable, so that this controller rather than its
   // workers is probably cut off from the network.
-  bool suspects_own_isolation() const { return failure_detector_.suspects_itself(); }
+  bool suspects_own_isolation() const { return failure_detector_.is_likely_isolated(); }
   // Returns the machines that have been unreachable long enough to be given up; at most as many as
   // fit in one store value.
   std::vector<std::string> unreachable_machines() const {
-    return failure_detector_.silent_machines();
+    return failure_detector_.unreachable_machines();
   }
   // Returns the zones that this controller cannot reach.
   std::vector<std::string> unreachable_zones() const {
     return failure_detector_.unreachable_zones();
   }
   // Returns whether placement of the job's tasks is delayed after failures on several machines.
-  bool is_backing_off(const std::string& job) const { return job_backoff_.backing_off(job); }
+  bool is_backing_off(const std::string& job) const { return job_backoff_.is_backing_off(job); }
   // Returns and clears the last worker that sent a heartbeat without belonging to any partition.
   std::optional<wire::UnassignedMachine> pop_unassigned_machine() {
-    return heartbeat_endpoint_.take_unassigned_machine();
+    return heartbeat_endpoint_.extract_unassigned_machine();
   }
 
  private:
