--- a/src/rooksill/controller/load_log.cc
+++ b/src/rooksill/controller/load_log.cc
@@ -22,8 +22,8 @@
   context_.info("load",
                 "per second:{}; queued: {} changes, {} submissions, {} polls; {} jobs with "
                 "unplaced tasks; {}",
-                rates, owner_.pending_shard_writes(), user_requests_.submissions(), user_requests_.polls(),
-                replica_.waiting_jobs.size(), owner_.machine_summary());
+                rates, owner_.pending_shard_writes(), user_requests_.submissions(),
+                user_requests_.polls(), replica_.waiting_jobs.size(), owner_.machine_summary());
 }
 
 }  // namespace rooksill::controller
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -25,14 +25,14 @@
 
 void full(policy::Demand&, const Line& line) {
   expect_near(line, policy::probability_all_busy(line.get("s", 1), line.get_integer("y", 0),
-                                        line.get_integer("rented", 1), line.get("mu", 1),
-                                        line.get("lambda", 1)));
+                                                 line.get_integer("rented", 1), line.get("mu", 1),
+                                                 line.get("lambda", 1)));
 }
 
 void unplanned(policy::Demand&, const Line& line) {
   expect_near(line, policy::expected_unplanned_rentals(line.get("t", 1), line.get_integer("y", 0),
-                                               line.get_integer("rented", 1), line.get("mu", 1),
-                                               line.get("lambda", 1)));
+                                                       line.get_integer("rented", 1),
+                                                       line.get("mu", 1), line.get("lambda", 1)));
 }
 
 policy::SizingInput read_input(const Line& line) {
