--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -48,7 +48,7 @@
 // A machine that answers and sends no reports cannot reach the controllers: its lease runs out
 // again and again, and with it all its work.
 bool FailureDetector::is_mute(const Worker& worker) const {
-  const bool has_replicas = replica_.load(worker.name).replica_cpus > 0;
+  const bool has_replicas = replica_.load(worker.name).service_cpus > 0;
   const double leases = has_replicas ? kMuteReplicaLeases : kMuteLeases;
   const double since =
       std::max({worker.contact.last_report, worker.contact.recovered_at, context_.resumed_at});
@@ -145,7 +145,7 @@
 
 std::vector<std::string> FailureDetector::silent_machines() const {
   std::vector<std::string> out;
-  const size_t most = context_.settings.platform.state_value_bytes / model::kItemBytes / 2;
+  const size_t most = context_.settings.platform.state_value_bytes / model::kMaxItemBytes / 2;
   for (const auto& [name, worker] : workers_)
     if (worker.silent && out.size() < most) out.push_back(name);
   return out;
--- a/src/rooksill/agent/gang_attempts.cc
+++ b/src/rooksill/agent/gang_attempts.cc
@@ -25,7 +25,7 @@
 bool GangAttempts::gone(const model::TaskShard& shard, const model::TaskRef& ref,
                         const model::TaskState& task) const {
   if (task.machine.empty()) return true;
-  if (replica_.machine_gone(task.machine) && replica_.lists_cover(shard)) return true;
+  if (replica_.is_machine_unlisted(task.machine) && replica_.has_current_lists_for(shard)) return true;
   const changes::TaskChange* change = changes_.find(ref);
   return change != nullptr && change->kind == changes::TaskChange::Kind::kLost;
 }
--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -29,7 +29,7 @@
 store::Write JobCanceller::cancelled_record(const model::Job& job) const {
   model::Job ended;
   ended.spec = job.spec;
-  ended.submitted = job.submitted;
+  ended.submitted_at = job.submitted_at;
   ended.tasks_per_shard = job.tasks_per_shard;
   ended.end = model::JobEnd::kCancelled;
   auto record = wire::encode_job(ended);
--- a/src/rooksill/api/job_lookup.cc
+++ b/src/rooksill/api/job_lookup.cc
@@ -23,7 +23,7 @@
       client_.read(key, [this, request, id, key, found = std::move(found),
                          absent = std::move(absent)](const store::ReadResult& result) {
         --reads_under_way_;
-        if (result.status == store::ReadStatus::kUnanswered) return responder_.reply_retry(request);
+        if (result.status == store::ReadStatus::kFailed) return responder_.reply_retry(request);
         if (result.status == store::ReadStatus::kFound)
           replica_.apply(key, result.value, result.revision);
         if (replica_.job(id) != nullptr) return found();
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -67,7 +67,7 @@
   Submission submission;
   submission.request = request;
   submission.queued_at = context_.now.steady;
-  submission.job.submitted = context_.now.wall;
+  submission.job.submitted_at = context_.now.wall;
   submission.job.spec = std::move(spec);
   submission.job.tasks_per_shard = replica_.tasks_per_shard();
   if (!fits_value(submission.job, platform))
@@ -106,7 +106,7 @@
 // A group goes out at once; the limits decide how large it may be.
 SubmissionQueue::Group SubmissionQueue::next_group() const {
   size_t max_size = std::min(context_.settings.platform.state_txn_ops, submissions_.size());
-  while (max_size > 1 && !client_.room_for(static_cast<double>(max_size), 0)) --max_size;
+  while (max_size > 1 && !client_.has_capacity_for(static_cast<double>(max_size), 0)) --max_size;
   Group group;
   std::set<std::string> ids;
   size_t bytes = 0;
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -62,7 +62,7 @@
   submissions_.flush();
   const PlatformSettings& platform = context_.settings.platform;
   const double max_reserved = kReservedWrites * platform.state_write_rps / platform.controllers;
-  client_.reserve_writes(std::min(static_cast<double>(submissions_.size()), max_reserved));
+  client_.set_reserved_writes(std::min(static_cast<double>(submissions_.size()), max_reserved));
   polls_.flush();
 }
 
--- a/src/rooksill/changes/shard_update.cc
+++ b/src/rooksill/changes/shard_update.cc
@@ -78,12 +78,12 @@
   const bool next_attempt =
       is_gang(job_) ? change.attempt > state.attempt : change.attempt == state.attempt + 1;
   if (!next_attempt || job_.over()) return false;
-  if (!reported_gone && !replica_.waits(state)) return false;
-  if (replica_.machine_gone(change.machine.name)) return false;
+  if (!reported_gone && !replica_.is_task_pending(state)) return false;
+  if (replica_.is_machine_unlisted(change.machine.name)) return false;
   if (change.basis != placement_basis(replica_, job_, change.machine.partition)) return false;
   // Taken from a machine that is in no list: only if the lists are known as far as this shard. With
   // older lists, a machine that was just assigned would look gone.
-  if (!state.machine.empty() && !reported_gone && !replica_.lists_cover(shard_)) return false;
+  if (!state.machine.empty() && !reported_gone && !replica_.has_current_lists_for(shard_)) return false;
   state.machine = change.machine.name;
   state.attempt = change.attempt;
   return true;
--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -146,7 +146,7 @@
 bool TaskChangeQueue::may_send(const Position& position,
                                const ShardTransactionBuilder& transaction) const {
   const size_t writes = transaction.write_count() + ShardTransactionBuilder::kMaxShardWrites;
-  if (!client_.room_for(static_cast<double>(writes) + client_.reserved_writes(),
+  if (!client_.has_capacity_for(static_cast<double>(writes) + client_.reserved_writes(),
                         reserved_share(position.rank)))
     return false;
   const auto& platform = context_.settings.platform;
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -195,20 +195,20 @@
 
 // Passes on what the batch has changed in the replica.
 void Controller::process_replica_changes() {
-  if (!replica_.changes.touched_jobs.empty()) {
+  if (!replica_.changes.changed_jobs.empty()) {
     owner_.request_placement();
     leader_.route_now();
   }
   fleet_.measure(replica_.changes.events);
   replica_.changes.events.clear();
-  replica_.changes.touched_jobs.clear();
+  replica_.changes.changed_jobs.clear();
   owner_.apply_store_changes();
-  replica_.changes.touched_machines.clear();
+  replica_.changes.changed_machines.clear();
 }
 
 void Controller::broadcast_updates() {
   wire::Updates updates;
-  updates.items = committer_.take_updates();
+  updates.items = committer_.pop_updates();
   if (!updates.items.empty()) peers_.broadcast(wire::PeerKind::kUpdates, wire::pack(updates));
 }
 
@@ -231,7 +231,7 @@
 
 bool Controller::ready() const {
   if (!replica_.synced || replica_.types.empty()) return false;
-  return client_.healthy() || !better_served_elsewhere();
+  return client_.is_healthy() || !better_served_elsewhere();
 }
 
 // Whether the store refuses this controller while it answers another one: users do better there. In
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -14,8 +14,8 @@
 }  // namespace
 
 bool HeartbeatSender::store_answers() const {
-  const double store_age = context_.now.steady - client_.last_answer();
-  return client_.healthy() ||
+  const double store_age = context_.now.steady - client_.last_response_at();
+  return client_.is_healthy() ||
          store_age < context_.settings.platform.report_s * kStoreSilenceReports;
 }
 
@@ -23,7 +23,7 @@
   wire::ControllerHeartbeat heartbeat;
   heartbeat.ready = replica_.synced;
   heartbeat.store_ok = store_answers();
-  heartbeat.store_age = context_.now.steady - client_.last_answer();
+  heartbeat.store_age = context_.now.steady - client_.last_response_at();
   heartbeat.suspects_itself = owner_.suspects_itself();
   heartbeat.term = leader_.term();
   heartbeat.addresses = owner_.take_addresses();
@@ -41,8 +41,8 @@
   model::LivenessRecord record;
   record.incarnation = context_.incarnation;
   record.suspects_itself = owner_.suspects_itself();
-  record.meant_for = recipients;
-  record.silent = owner_.silent_machines();
+  record.intended_recipients = recipients;
+  record.unreachable_machines = owner_.silent_machines();
   record.unreachable_zones = owner_.unreachable_zones();
   const auto key = wire::liveness_key(context_.settings.platform.label);
   // An outcome is not needed: the next record replaces this one.
--- a/src/rooksill/controller/load_log.cc
+++ b/src/rooksill/controller/load_log.cc
@@ -23,7 +23,7 @@
                 "per second:{}; queued: {} changes, {} submissions, {} polls; {} jobs with "
                 "unplaced tasks; {}",
                 rates, owner_.queued(), user_requests_.submissions(), user_requests_.polls(),
-                replica_.waiting_jobs.size(), owner_.summary());
+                replica_.pending_jobs.size(), owner_.summary());
 }
 
 }  // namespace rooksill::controller
--- a/src/rooksill/fleet/cloud_client.cc
+++ b/src/rooksill/fleet/cloud_client.cc
@@ -27,7 +27,7 @@
 
 bool CloudClient::send(const std::string& method, const std::string& path, const std::string& body,
                        runtime::CallHandler on_response) {
-  if (!rate_limit_.take(1)) return false;
+  if (!rate_limit_.try_acquire(1)) return false;
   context_.call(
       runtime::Target::kCloud, context_.settings.platform.cloud_address, method, path, body,
       kTimeoutSeconds,
--- a/src/rooksill/fleet/demand_meter.cc
+++ b/src/rooksill/fleet/demand_meter.cc
@@ -17,7 +17,7 @@
     const auto type = replica_.types.find(machine->type);
     if (type == replica_.types.end()) continue;
     policy::Demand& demand = demand_[{machine->type, machine->spot}];
-    const double share = type->second.capacity.share_of(job->spec.request);
+    const double share = type->second.capacity.dominant_share(job->spec.request);
     if (event.kind == store::TaskEvent::Kind::kFirstPlaced)
       demand.record_arrival(share);
     else
@@ -47,7 +47,7 @@
     const store::MachineLoad& load = replica_.load(name);
     const auto type = replica_.types.find(machine.type);
     if (load.tasks.empty() || type == replica_.types.end()) continue;
-    busy[{machine.type, machine.spot}] += type->second.capacity.share_of(load.used);
+    busy[{machine.type, machine.spot}] += type->second.capacity.dominant_share(load.used);
   }
   return busy;
 }
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -95,7 +95,7 @@
     if (to->spot && !spec.spot) continue;
     if (!spec.zone.empty() && to->zone != spec.zone) continue;
     if (spec.one_zone && to->zone != from.zone) continue;
-    if (spec.spread && tasks_by_zone[to->zone] >= spec.most_in_zone()) continue;
+    if (spec.spread && tasks_by_zone[to->zone] >= spec.max_tasks_in_zone()) continue;
     if (spec.allows_type(to->type) && has_image(status, spec.image)) return true;
   }
   return false;
--- a/src/rooksill/fleet/gang_target.cc
+++ b/src/rooksill/fleet/gang_target.cc
@@ -35,7 +35,7 @@
   for (const FreeSpace& space : spaces) {
     if (space.partition == kAnyPartition || (space.spot && !spec.spot)) continue;
     if (!spec.allows_type(space.type->name)) continue;
-    const double fitting = std::min<double>(spec.tasks, spec.tasks_in(space.free));
+    const double fitting = std::min<double>(spec.tasks, spec.fitting_tasks(space.free));
     if (fitting >= 1) targets[target_in(spec, space.partition, space.zone)] += fitting;
   }
 }
--- a/src/rooksill/fleet/job_demand.cc
+++ b/src/rooksill/fleet/job_demand.cc
@@ -22,7 +22,7 @@
 uint32_t JobDemand::zone_allowance(const std::string& zone) const {
   if (!zone_.empty() && zone != zone_) return 0;
   if (!spec_.spread) return spec_.tasks;
-  const uint32_t most = spec_.most_in_zone();
+  const uint32_t most = spec_.max_tasks_in_zone();
   const auto there = tasks_by_zone_.find(zone);
   return there == tasks_by_zone_.end() ? most : most - std::min(there->second, most);
 }
@@ -36,7 +36,7 @@
 uint32_t JobDemand::assign_to(FreeSpace& space) {
   if (!allows(space)) return 0;
   const uint32_t most = std::min(unassigned_, zone_allowance(space.zone));
-  const double fitting = std::min<double>(most, spec_.tasks_in(space.free));
+  const double fitting = std::min<double>(most, spec_.fitting_tasks(space.free));
   if (fitting < 1) return 0;
   const auto assigned = static_cast<uint32_t>(fitting);
   space.free -= spec_.request * fitting;
--- a/src/rooksill/fleet/machine_catalog.cc
+++ b/src/rooksill/fleet/machine_catalog.cc
@@ -17,7 +17,7 @@
 
 // A type's name becomes part of a store key.
 bool is_valid_name(const std::string& name) {
-  return !name.empty() && name.find(' ') == std::string::npos && name.size() <= model::kMaxName;
+  return !name.empty() && name.find(' ') == std::string::npos && name.size() <= model::kMaxNameBytes;
 }
 }  // namespace
 
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -24,7 +24,7 @@
   std::vector<PartitionSize> sizes;
   if (partition == kAnyPartition) sizes = partition_sizes(offer);
   for (const auto& name : names) {
-    if (name.empty() || name.size() > model::kMaxName || is_pending(name)) continue;
+    if (name.empty() || name.size() > model::kMaxNameBytes || is_pending(name)) continue;
     model::Machine machine;
     machine.name = name;
     machine.type = offer.pool.type;
@@ -39,7 +39,7 @@
       ++least->all;
     }
     machine.page = page_with_room(machine.partition);
-    machine.rented = std::floor(context_.now.wall);
+    machine.rented_at = std::floor(context_.now.wall);
     pending_.emplace(name, std::move(machine));
   }
 }
--- a/src/rooksill/fleet/machine_review.cc
+++ b/src/rooksill/fleet/machine_review.cc
@@ -36,7 +36,7 @@
   const auto type = replica_.types.find(machine.type);
   const double boot_s =
       type != replica_.types.end() ? type->second.boot_s : context_.settings.platform.lease_s;
-  return context_.now.wall - machine.rented > kFailedBootTimes * boot_s;
+  return context_.now.wall - machine.rented_at > kFailedBootTimes * boot_s;
 }
 
 }  // namespace rooksill::fleet
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -91,8 +91,8 @@
     if (space.free.cpus > 0) return space;
     return std::nullopt;
   }
-  const double age = context_.now.wall - machine.rented;
-  if (age < model::kLateBoot * type->second.boot_s) return space;
+  const double age = context_.now.wall - machine.rented_at;
+  if (age < model::kLateBootRatio * type->second.boot_s) return space;
   return std::nullopt;
 }
 
@@ -147,7 +147,7 @@
   if (type == replica_.types.end()) return std::nullopt;
   const model::Resources& capacity = type->second.capacity;
   const double load = status->second.load;
-  if (load + capacity.share_of(spec.request) > 1) return std::nullopt;
+  if (load + capacity.dominant_share(spec.request) > 1) return std::nullopt;
   FreeSpace space = empty_machine(type->second, *machine);
   space.free = capacity * (1 - load);
   return space;
@@ -175,7 +175,7 @@
   double best_cost = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : replica_.types) {
     if (!spec.allows_type(name) || !fits_machine(spec, type)) continue;
-    const double share = std::max(kSmallestShare, type.capacity.share_of(spec.request));
+    const double share = std::max(kSmallestShare, type.capacity.dominant_share(spec.request));
     const double tasks = std::min(std::max(1.0, std::floor(1 / share)), useful);
     for (const bool spot : {true, false}) {
       if (spot && !spec.spot) continue;
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -89,7 +89,7 @@
     if (status.faulty || status.silent || status.termination_notice) continue;
     ++state.rented;
     state.busy += status.load;
-    const double age = context_.now.wall - machine->rented;
+    const double age = context_.now.wall - machine->rented_at;
     if (!status.up || age <= kMinimumChargeSeconds) continue;
     const auto images = static_cast<double>(status.images.size());
     state.candidates.push_back({status.load * (1 + kCostOfImage * images), machine});
--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/silent_machines.cc
@@ -45,8 +45,8 @@
     const auto type = replica_.types.find(machine.type);
     if (found == statuses.end() || type == replica_.types.end()) continue;
     const wire::MachineStatus& status = found->second;
-    const double age = context_.now.wall - machine.rented;
-    if (!status.up && age < model::kLateBoot * type->second.boot_s) continue;
+    const double age = context_.now.wall - machine.rented_at;
+    if (!status.up && age < model::kLateBootRatio * type->second.boot_s) continue;
     ZoneCount& count = counts[machine.zone];
     ++count.all;
     if (status.silent || !status.up) ++count.silent;
@@ -101,7 +101,7 @@
   if ((unreachable || is_cut_off(machine.zone)) &&
       !claim_release_in_cut_off_zone(machine, silent_s))
     return false;
-  if (replica_.load(machine.name).replica_cpus <= 0) return true;
+  if (replica_.load(machine.name).service_cpus <= 0) return true;
   return claim_place_in_batch(silent_s);
 }
 
@@ -114,7 +114,7 @@
   const double unheard_s = context_.settings.operators.machine_silence_reports * platform.report_s;
   if (silent_s < platform.lease_s - unheard_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
-  if (load.replica_cpus <= 0 && claim_space_for(load)) return true;
+  if (load.service_cpus <= 0 && claim_space_for(load)) return true;
   return silent_s >= kGivenUpLeases * platform.lease_s || replica_fits_elsewhere(machine);
 }
 
@@ -155,7 +155,7 @@
   std::map<std::string, uint32_t> tasks_by_zone = replica_.tasks_by_zone(job);
   for (const auto& [name, type] : replica_.types)
     for (const auto& other : type.zones)
-      if (other != zone && tasks_by_zone[other] < job.spec.most_in_zone()) return true;
+      if (other != zone && tasks_by_zone[other] < job.spec.max_tasks_in_zone()) return true;
   return false;
 }
 
--- a/src/rooksill/fleet/silent_machines.h
+++ b/src/rooksill/fleet/silent_machines.h
@@ -72,7 +72,7 @@
   std::map<std::string, double> silent_since_;   // by machine, steady clock
   // On machines that are heard: CPUs that are free, and in use by the tasks' priority.
   double free_cpus_ = 0;
-  std::array<double, model::kPriorities> used_cpus_{};
+  std::array<double, model::kPriorityCount> used_cpus_{};
   double next_space_update_ = 0;  // steady clock
   double next_batch_ = 0;         // steady clock
   int left_in_batch_ = 0;         // machines with replicas that may still be released
--- a/src/rooksill/fleet/zone_floors.cc
+++ b/src/rooksill/fleet/zone_floors.cc
@@ -22,7 +22,7 @@
   double fullest_machine = 0;
   for (const auto& [name, machine] : replica_.machines) {
     if (machine.spot) continue;
-    const double used = replica_.load(name).replica_cpus;
+    const double used = replica_.load(name).service_cpus;
     fullest_machine = std::max(fullest_machine, used);
     used_by_replicas[machine.zone] += used;
     if (used > 0) record_largest_replica(machine, largest_replicas);
--- a/src/rooksill/leader/capacity_view.h
+++ b/src/rooksill/leader/capacity_view.h
@@ -22,7 +22,7 @@
   bool spot = false;
   model::Resources free;
   // CPUs of tasks there that are not being stopped.
-  std::array<double, model::kPriorities> cpus_by_priority{};
+  std::array<double, model::kPriorityCount> cpus_by_priority{};
   // Free CPUs on machines that have an image.
   std::unordered_map<std::string, double> free_cpus_by_image;
 
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -37,7 +37,7 @@
     if (is_self || peers_.heard(owner) || !peers_.alive(owner)) continue;
     const auto record = replica_.liveness_records.find(owner);
     const std::vector<std::string>& silent =
-        record == replica_.liveness_records.end() ? kNoneSilent : record->second.silent;
+        record == replica_.liveness_records.end() ? kNoneSilent : record->second.unreachable_machines;
     for (const store::MachinePage& page : replica_.pages[partition])
       for (const std::string& name : page.names) derive_status(owner, silent, name);
   }
@@ -52,7 +52,7 @@
   const model::Resources& capacity = type->second.capacity;
   const store::MachineLoad& load = replica_.load(name);
   const model::Resources free = capacity - load.used;
-  const double machine_age = context_.now.wall - machine.rented;
+  const double machine_age = context_.now.wall - machine.rented_at;
 
   wire::PublishedStatus& status = statuses_[name];
   status.publisher = owner;
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -110,7 +110,7 @@
     } else if (spec.spread) {
       auto placed = demand.placed_by_zone.find(zone);
       const uint32_t there = placed == demand.placed_by_zone.end() ? 0 : placed->second;
-      const uint32_t allowed = spec.most_in_zone() - std::min(there, spec.most_in_zone());
+      const uint32_t allowed = spec.max_tasks_in_zone() - std::min(there, spec.max_tasks_in_zone());
       room.tasks += std::min(tasks, static_cast<double>(allowed));
     } else {
       room.tasks += tasks;
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -66,8 +66,8 @@
 // ----------------------------------------------------------------------------------------
 
 void Router::route_touched_jobs() {
-  for (const auto& id : replica_.changes.touched_jobs)
-    if (replica_.waiting_jobs.count(id) != 0) touched_jobs_.insert(id);
+  for (const auto& id : replica_.changes.changed_jobs)
+    if (replica_.pending_jobs.count(id) != 0) touched_jobs_.insert(id);
   if (touched_jobs_.empty()) return;
   route(touched_jobs_);
   touched_jobs_.clear();
@@ -75,7 +75,7 @@
 }
 
 void Router::route_next_jobs() {
-  const auto& waiting = replica_.waiting_jobs;
+  const auto& waiting = replica_.pending_jobs;
   const size_t most = std::max(kMinJobsPerTurn, waiting.size() / kTurnsForAllJobs);
   std::set<std::string> turn;
   auto job = waiting.upper_bound(last_looked_at_);
@@ -98,7 +98,7 @@
   const bool leader_unheard = some_owner_does_not_hear_us();
   for (const auto& id : jobs) {
     const model::Job* job = replica_.job(id);
-    if (job == nullptr || replica_.waiting_jobs.count(id) == 0) continue;
+    if (job == nullptr || replica_.pending_jobs.count(id) == 0) continue;
     const bool gang = job->spec.shape == model::Shape::kGang;
     const double patience_s =
         (gang ? kGangPatienceReports : kPatienceReports) * context_.settings.platform.report_s;
--- a/src/rooksill/leader/waiting_work.cc
+++ b/src/rooksill/leader/waiting_work.cc
@@ -14,7 +14,7 @@
 bool goes_first(const fleet::WaitingTasks& a, const fleet::WaitingTasks& b) {
   if (a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
-  return a.job->submitted < b.job->submitted;
+  return a.job->submitted_at < b.job->submitted_at;
 }
 
 }  // namespace
@@ -24,7 +24,7 @@
   std::map<model::ShardId, double> waiting_since;
   const double now = context_.now.steady;
   const double patience = context_.settings.platform.report_s / kWaitsPerReport;
-  for (const auto& id : replica_.waiting_jobs) {
+  for (const auto& id : replica_.pending_jobs) {
     if (owner_.backing_off(id)) continue;
     const model::Job& job = *replica_.job(id);
     uint32_t tasks = 0;
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -83,7 +83,7 @@
   PeerProgress& progress = progress_of(label);
   // Acted on at once; the job's record follows by the watch.
   for (const auto& job : message.jobs)
-    if (wire::valid_job_id(job)) replica_.record_cancelled(job);
+    if (wire::valid_job_id(job)) replica_.mark_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
   const bool without_gap = message.first <= progress.received + 1;
   if (!message.jobs.empty() && without_gap) progress.received = std::max(progress.received, last);
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -160,7 +160,7 @@
 }
 
 bool Peers::is_meant_for_us(const model::LivenessRecord& record) const {
-  const auto& labels = record.meant_for;
+  const auto& labels = record.intended_recipients;
   return std::find(labels.begin(), labels.end(), context_.settings.platform.label) != labels.end();
 }
 
--- a/src/rooksill/model/coordination.h
+++ b/src/rooksill/model/coordination.h
@@ -20,11 +20,11 @@
 
 // An owner raises tokens below its lease's: a worker's token is the lease's, shifted by so many
 // bits, plus what the owner added since.
-inline constexpr int kFencingTokenShift = 20;
+inline constexpr int kFencingTokenShiftBits = 20;
 
 // The lowest token that an owner under this lease sends.
 constexpr FencingToken first_worker_token(FencingToken lease_token) {
-  return static_cast<FencingToken>(number(lease_token) << kFencingTokenShift);
+  return static_cast<FencingToken>(number(lease_token) << kFencingTokenShiftBits);
 }
 
 // CPUs and GPUs of a team's quota.
@@ -54,8 +54,8 @@
   Revision revision = kNoRevision;
   uint64_t incarnation = 0;
   bool suspects_itself = false;
-  std::vector<std::string> meant_for;  // controllers that it does not hear, or that do not hear it
-  std::vector<std::string> silent;     // some of its silent machines
+  std::vector<std::string> intended_recipients;  // controllers that it does not hear, or that do not hear it
+  std::vector<std::string> unreachable_machines;     // some of its silent machines
   std::vector<std::string> unreachable_zones;  // whose machines it cannot reach
 };
 
--- a/src/rooksill/model/job.h
+++ b/src/rooksill/model/job.h
@@ -21,7 +21,7 @@
 
 // Work may preempt work of a lower priority.
 enum class Priority { kIdle = 0, kStandard = 1, kUrgent = 2, kProd = 3 };
-inline constexpr int kPriorities = 4;
+inline constexpr int kPriorityCount = 4;
 
 // What a user asked for. Nothing here changes after the job was accepted.
 struct JobSpec {
@@ -45,11 +45,11 @@
   std::optional<double> deadline_s;  // from the submission
 
   // Of a spread job's tasks: half of them, rounded up.
-  uint32_t most_in_zone() const { return (tasks + 1) / 2; }
+  uint32_t max_tasks_in_zone() const { return (tasks + 1) / 2; }
   bool allows_type(const std::string& name) const;
   bool allows_any_type() const { return types.empty(); }
   // How many tasks fit in that much, as a whole number; infinite if a task takes nothing.
-  double tasks_in(const Resources& available) const { return available.count_of(request); }
+  double fitting_tasks(const Resources& available) const { return available.count_fitting(request); }
 };
 
 // A task by its job and its number in it.
@@ -91,7 +91,7 @@
   JobSpec spec;
   Revision revision = kNoRevision;
   JobEnd end = JobEnd::kOpen;
-  double submitted = 0;          // seconds of the wall clock
+  double submitted_at = 0;          // seconds of the wall clock
   uint32_t tasks_per_shard = 1;  // as the controller that accepted the job chose
   int image = 0;                 // the image's number in this process, for quick comparisons
   std::vector<TaskShard> shards;
@@ -99,7 +99,7 @@
   uint32_t placed = 0;
 
   bool over() const { return end != JobEnd::kOpen; }
-  bool finished_tasks() const { return done == spec.tasks; }
+  bool has_all_tasks_done() const { return done == spec.tasks; }
   ShardId shard_of(uint32_t task) const { return {spec.id, task / tasks_per_shard}; }
 };
 
--- a/src/rooksill/model/machine.h
+++ b/src/rooksill/model/machine.h
@@ -28,10 +28,10 @@
   bool spot = false;
   int partition = 0;
   int page = 0;       // of its partition's list
-  double rented = 0;  // wall clock, in whole seconds
+  double rented_at = 0;  // wall clock, in whole seconds
 };
 
 // Boot times after which a machine that has not reported is not counted on any more.
-inline constexpr double kLateBoot = 2.5;
+inline constexpr double kLateBootRatio = 2.5;
 
 }  // namespace rooksill::model
--- a/src/rooksill/model/resources.cc
+++ b/src/rooksill/model/resources.cc
@@ -6,7 +6,7 @@
 
 namespace rooksill::model {
 
-double Resources::count_of(const Resources& request) const {
+double Resources::count_fitting(const Resources& request) const {
   double count = std::numeric_limits<double>::infinity();
   const auto limit_by = [&count](double available, double requested) {
     if (requested <= 0) return;
@@ -18,7 +18,7 @@
   return count;
 }
 
-double Resources::share_of(const Resources& used) const {
+double Resources::dominant_share(const Resources& used) const {
   double share = 0;
   if (cpus > 0) share = std::max(share, used.cpus / cpus);
   if (memory_gb > 0) share = std::max(share, used.memory_gb / memory_gb);
--- a/src/rooksill/model/resources.h
+++ b/src/rooksill/model/resources.h
@@ -41,9 +41,9 @@
   }
 
   // How many times `request` fits in here, as a whole number; infinite if it asks for nothing.
-  double count_of(const Resources& request) const;
+  double count_fitting(const Resources& request) const;
   // The largest share of this that `used` takes up, over CPUs, memory and GPUs.
-  double share_of(const Resources& used) const;
+  double dominant_share(const Resources& used) const;
 };
 
 }  // namespace rooksill::model
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -52,7 +52,7 @@
             model::number(lease.fencing_token));
   drop_workers(partition);
   for (const auto& page : replica_.pages[static_cast<size_t>(partition)])
-    replica_.changes.touched_machines.insert(page.names.begin(), page.names.end());
+    replica_.changes.changed_machines.insert(page.names.begin(), page.names.end());
 }
 
 void PartitionOwner::drop_workers(int partition) {
@@ -79,7 +79,7 @@
 
 // What a batch changed in the store concerns the machines that it names, and no others.
 void PartitionOwner::apply_store_changes() {
-  for (const auto& name : replica_.changes.touched_machines) {
+  for (const auto& name : replica_.changes.changed_machines) {
     const model::Machine* machine = replica_.machine(name);
     if (agent::Worker* worker = workers_.find(name)) {
       if (machine != nullptr) {
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -104,8 +104,8 @@
     if (change != nullptr) {
       // Ended elsewhere, and not written yet: it may get its next place with the same change.
       if (change->kind == TaskChange::Kind::kLost && !pending->in_flight()) indexes.push_back(i);
-    } else if (env_.replica.waits(task) &&
-               (task.machine.empty() || env_.replica.lists_cover(shard))) {
+    } else if (env_.replica.is_task_pending(task) &&
+               (task.machine.empty() || env_.replica.has_current_lists_for(shard))) {
       indexes.push_back(i);
     }
   }
@@ -137,7 +137,7 @@
     if (tasks[i].machine.empty() || ended(i)) continue;
     // A machine that is in no list here may have been added since the lists were read: other
     // controllers' updates of shards come faster than the watch.
-    if (env_.replica.machine_gone(tasks[i].machine) && !env_.replica.lists_cover(job.shards[shard]))
+    if (env_.replica.is_machine_unlisted(tasks[i].machine) && !env_.replica.has_current_lists_for(job.shards[shard]))
       return false;
     count_on(tasks[i].machine, job.spec, zones);
   }
@@ -195,7 +195,7 @@
       env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
       env_.context.debug("placement", "task {} attempt {} goes to {} after {:.2f} s{}",
                          wire::task_name(ref), attempt, worker.name,
-                         env_.context.now.wall - job.submitted,
+                         env_.context.now.wall - job.submitted_at,
                          worker.capacity.has_image(job.image) ? "" : ", image not there");
     }
     env_.capacities.recompute(worker);
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -35,8 +35,8 @@
     if (change != nullptr) {
       // Reported gone, and not written yet: the next place may go with the same change.
       if (change->kind != TaskChange::Kind::kLost || pending->in_flight()) return std::nullopt;
-    } else if (!env_.replica.waits(task) ||
-               (!task.machine.empty() && !env_.replica.lists_cover(shard))) {
+    } else if (!env_.replica.is_task_pending(task) ||
+               (!task.machine.empty() && !env_.replica.has_current_lists_for(shard))) {
       return std::nullopt;
     }
   }
@@ -69,7 +69,7 @@
                        TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
     env_.context.debug("placement", "{} tasks of gang {} attempt {} go to {} after {:.2f} s{}",
                        assignment.tasks, job.spec.id, *attempt, worker.name,
-                       env_.context.now.wall - job.submitted,
+                       env_.context.now.wall - job.submitted_at,
                        worker.capacity.has_image(job.image) ? "" : ", image not there");
     env_.capacities.recompute(worker);
   }
@@ -82,7 +82,7 @@
   if (!room) return;
   const auto& context = env_.context;
   const bool waits_long =
-      context.now.wall - job.submitted > kSetAsideReports * context.settings.platform.report_s;
+      context.now.wall - job.submitted_at > kSetAsideReports * context.settings.platform.report_s;
   const bool enough = room->tasks >= job.spec.tasks;
   if (!enough && !waits_long) return;
   const uint32_t missing = job.spec.tasks - set_aside_for_gang(job.spec, room->zone);
--- a/src/rooksill/partition/quota_usage.cc
+++ b/src/rooksill/partition/quota_usage.cc
@@ -37,7 +37,7 @@
 
 double QuotaUsage::tasks_left(const model::JobSpec& spec, int partition) {
   const model::QuotaShare left = unused(share(spec.team, partition), spec.team, partition);
-  return spec.tasks_in({left.cpus, left.gpus, std::numeric_limits<double>::infinity()});
+  return spec.fitting_tasks({left.cpus, left.gpus, std::numeric_limits<double>::infinity()});
 }
 
 bool QuotaUsage::allows_task(const model::JobSpec& spec, int partition) {
--- a/src/rooksill/placement/feasibility.cc
+++ b/src/rooksill/placement/feasibility.cc
@@ -45,7 +45,7 @@
 double Feasibility::free_slots(const model::JobSpec& spec, const MachineCapacity& machine,
                                const model::Resources& set_aside) const {
   const model::Resources available = machine.free - headroom(spec, machine) - set_aside;
-  return std::min(kMaxSlots, spec.tasks_in(available));
+  return std::min(kMaxSlots, spec.fitting_tasks(available));
 }
 
 }  // namespace rooksill::placement
--- a/src/rooksill/placement/machine_capacity.h
+++ b/src/rooksill/placement/machine_capacity.h
@@ -27,7 +27,7 @@
   std::vector<int> cached_images;    // by the images' numbers in this process
   std::vector<int> fetching_images;  // of tasks here, not in the cache yet
   // CPUs of the tasks that preemption may evict, by their priority.
-  std::array<double, model::kPriorities> cpus_by_priority{};
+  std::array<double, model::kPriorityCount> cpus_by_priority{};
   // Kept so that it can be taken back from the use of the partition when this is computed anew.
   std::map<std::string, model::Resources> use_by_team;
 
--- a/src/rooksill/placement/work_order.cc
+++ b/src/rooksill/placement/work_order.cc
@@ -22,15 +22,15 @@
     if (objective.job_class != spec.job_class) continue;
     double target = 0;
     if (objective.kind == ObjectiveKind::kDeadline && spec.deadline_s)
-      target = job.submitted + *spec.deadline_s * objective.times;
+      target = job.submitted_at + *spec.deadline_s * objective.times;
     else if (objective.kind == ObjectiveKind::kFinished)
-      target = job.submitted + objective.within_s;
+      target = job.submitted_at + objective.within_s;
     else
       continue;
     last = std::max(last, target);
     if (target - spec.estimate_s >= now) due = std::min(due, target);
   }
-  if (last == 0) return job.submitted + spec.deadline_s.value_or(kEstimates * spec.estimate_s);
+  if (last == 0) return job.submitted_at + spec.deadline_s.value_or(kEstimates * spec.estimate_s);
   return std::isinf(due) ? last + kMissedPenalty : due;
 }
 
--- a/src/rooksill/placement/zone_limits.h
+++ b/src/rooksill/placement/zone_limits.h
@@ -13,7 +13,7 @@
 class ZoneLimits {
  public:
   explicit ZoneLimits(const model::JobSpec& spec)
-      : most_in_zone_(spec.spread ? spec.most_in_zone() : std::numeric_limits<uint32_t>::max()) {}
+      : most_in_zone_(spec.spread ? spec.max_tasks_in_zone() : std::numeric_limits<uint32_t>::max()) {}
 
   // All tasks have to go to this zone.
   void restrict_to(const std::string& zone) { only_zone_ = zone; }
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -45,7 +45,7 @@
 
 double QuotaBalancer::tasks_left(const model::JobSpec& spec, int partition) {
   const model::QuotaShare& share = left(spec.team, partition);
-  return spec.tasks_in({share.cpus, share.gpus, std::numeric_limits<double>::infinity()});
+  return spec.fitting_tasks({share.cpus, share.gpus, std::numeric_limits<double>::infinity()});
 }
 
 void QuotaBalancer::deduct(const model::JobSpec& spec, int partition, double tasks) {
--- a/src/rooksill/routing/fallback_routing.cc
+++ b/src/rooksill/routing/fallback_routing.cc
@@ -29,7 +29,7 @@
   const double turn_s = kTurnReports * settings.platform.report_s;
   const size_t partitions = replica.leases.size();
   uint64_t turn = first_turn(job.spec, shard) +
-                  static_cast<uint64_t>(std::max(0.0, wall_time - job.submitted) / turn_s);
+                  static_cast<uint64_t>(std::max(0.0, wall_time - job.submitted_at) / turn_s);
   for (size_t i = 0; i < partitions; ++i, ++turn) {
     const int partition = static_cast<int>(turn % partitions);
     if (quota::quota_share(settings, replica, job.spec.team, partition).cpus >=
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr double kRequestTimeout = 1;  // s, of reads and transactions
+constexpr double kRequestTimeoutS = 1;  // s, of reads and transactions
 // Of the limits, less a margin for the others' clocks and views of who is alive.
-constexpr double kUsedShare = 0.95;
+constexpr double kUsedLimitRatio = 0.95;
 
 constexpr int kOk = 200, kNotFound = 404, kTooManyRequests = 429, kUnavailable = 503;
 
-ReadResult read_result(const runtime::CallDone& done) {
-  if (done.status == kNotFound) return {ReadStatus::kAbsent};
-  if (done.status != kOk) return {};
-  auto item = wire::decode_read(done.body);
+ReadResult read_result(const runtime::CallDone& response) {
+  if (response.status == kNotFound) return {ReadStatus::kAbsent};
+  if (response.status != kOk) return {};
+  auto item = wire::decode_read(response.body);
   if (!item) return {};
   return {ReadStatus::kFound, item->revision, std::move(item->value)};
 }
@@ -26,70 +26,70 @@
 Client::Client(const PlatformSettings& settings, CallFn call)
     : settings_(settings),
       call_(std::move(call)),
-      requests_(settings.state_rps / settings.controllers),
-      writes_(settings.state_write_rps / settings.controllers),
+      request_limit_(settings.state_rps / settings.controllers),
+      write_limit_(settings.state_write_rps / settings.controllers),
       writes_per_s_(settings.state_write_rps / settings.controllers) {}
 
-void Client::tick(double now, int sharers) {
+void Client::tick(double now, int live_controllers) {
   now_ = now;
-  const double share = kUsedShare / std::max(1, sharers);
-  writes_per_s_ = write_limit() * share;
-  requests_.set_rate(settings_.state_rps * share);
-  writes_.set_rate(writes_per_s_);
-  requests_.refill(now);
-  writes_.refill(now);
+  const double share = kUsedLimitRatio / std::max(1, live_controllers);
+  writes_per_s_ = total_writes_per_s() * share;
+  request_limit_.set_rate(settings_.state_rps * share);
+  write_limit_.set_rate(writes_per_s_);
+  request_limit_.refill(now);
+  write_limit_.refill(now);
 }
 
-void Client::note_answer(const runtime::CallDone& done) {
-  if (done.status == kTooManyRequests) lowered_ = true;
-  if (done.status == 0 || done.status == kUnavailable) {
-    if (healthy()) failing_since_ = now_;
-    last_failure_ = now_;
+void Client::record_response(const runtime::CallDone& response) {
+  if (response.status == kTooManyRequests) uses_lower_limit_ = true;
+  if (response.status == 0 || response.status == kUnavailable) {
+    if (is_healthy()) failing_since_ = now_;
+    last_failure_at_ = now_;
   } else {
-    last_answer_ = now_;
+    last_response_at_ = now_;
   }
 }
 
 bool Client::request(const std::string& method, const std::string& path, const std::string& body,
-                     double timeout_s, runtime::CallHandler done) {
-  if (!requests_.take(1)) return false;
+                     double timeout_s, runtime::CallHandler handler) {
+  if (!request_limit_.try_acquire(1)) return false;
   call_(method, path, body, timeout_s,
-        [this, done = std::move(done)](const runtime::CallDone& answer) {
-          note_answer(answer);
-          done(answer);
+        [this, handler = std::move(handler)](const runtime::CallDone& response) {
+          record_response(response);
+          handler(response);
         });
   return true;
 }
 
-bool Client::read(const std::string& key, ReadDone done) {
+bool Client::read(const std::string& key, ReadHandler handler) {
   return request(
-      "GET", wire::read_path(key), "", kRequestTimeout,
-      [done = std::move(done)](const runtime::CallDone& answer) { done(read_result(answer)); });
+      "GET", wire::read_path(key), "", kRequestTimeoutS,
+      [handler = std::move(handler)](const runtime::CallDone& response) { handler(read_result(response)); });
 }
 
 bool Client::transact(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
-                      TransactionDone done) {
-  const double count = static_cast<double>(writes.size());
-  if (!room_for(count, 0)) return false;
-  requests_.take(1);
-  if (count > 0) writes_.take(count);
+                      TransactionHandler handler) {
+  const double write_count = static_cast<double>(writes.size());
+  if (!has_capacity_for(write_count, 0)) return false;
+  request_limit_.try_acquire(1);
+  if (write_count > 0) write_limit_.try_acquire(write_count);
   call_("POST", wire::kTransactionPath, wire::encode_transaction(preconditions, std::move(writes)),
-        kRequestTimeout, [this, done = std::move(done)](const runtime::CallDone& answer) {
-          note_answer(answer);
-          done(transaction_result(answer));
+        kRequestTimeoutS, [this, handler = std::move(handler)](const runtime::CallDone& response) {
+          record_response(response);
+          handler(transaction_result(response));
         });
   return true;
 }
 
-TransactionResult Client::transaction_result(const runtime::CallDone& done) {
-  if (done.status == 0) {
+TransactionResult Client::transaction_result(const runtime::CallDone& response) {
+  if (response.status == 0) {
     TransactionResult result;
-    if (done.refused) result.outcome = TransactionOutcome::kRefused;
+    if (response.refused) result.outcome = TransactionOutcome::kRefused;
     return result;
   }
   // Others have used more than their share, or the store is overloaded: it gets a pause.
-  if (done.status == kTooManyRequests || done.status == kUnavailable) writes_.drain();
-  return wire::decode_transaction_answer(done.status, done.body);
+  if (response.status == kTooManyRequests || response.status == kUnavailable) write_limit_.drain();
+  return wire::decode_transaction_answer(response.status, response.body);
 }
 
 }  // namespace rooksill::store
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -20,13 +20,13 @@
 using wire::Write;
 
 enum class ReadStatus {
-  kUnanswered,  // nothing is known of the key
+  kFailed,  // nothing is known of the key
   kAbsent,      // the store does not have the key
   kFound
 };
 
 struct ReadResult {
-  ReadStatus status = ReadStatus::kUnanswered;
+  ReadStatus status = ReadStatus::kFailed;
   // With kFound only.
   model::Revision revision = model::kNoRevision;
   nlohmann::json value;
@@ -42,56 +42,56 @@
  public:
   Client(const PlatformSettings& settings, CallFn call);
 
-  using TransactionDone = std::function<void(const TransactionResult&)>;
-  using ReadDone = std::function<void(const ReadResult&)>;
+  using TransactionHandler = std::function<void(const TransactionResult&)>;
+  using ReadHandler = std::function<void(const ReadResult&)>;
 
   // transact(), read() and request() return false when the limits leave no room just now. Nothing
   // was sent then, and the handler does not run.
   bool transact(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
-                TransactionDone done);
-  bool read(const std::string& key, ReadDone done);
+                TransactionHandler handler);
+  bool read(const std::string& key, ReadHandler handler);
   // Any other request of the store's protocol.
   bool request(const std::string& method, const std::string& path, const std::string& body,
-               double timeout_s, runtime::CallHandler done);
+               double timeout_s, runtime::CallHandler handler);
 
   // Whether a transaction of so many writes would go out now and leave that part of the limits.
-  bool room_for(double writes, double reserve) const {
-    return requests_.has(1, reserve) && (writes <= 0 || writes_.has(writes, reserve));
+  bool has_capacity_for(double writes, double reserve) const {
+    return request_limit_.has_tokens(1, reserve) && (writes <= 0 || write_limit_.has_tokens(writes, reserve));
   }
   // Writes that are left to submissions, which come last and would otherwise never come. Callers of
   // room_for() add them.
-  void reserve_writes(double writes) { reserved_writes_ = writes; }
+  void set_reserved_writes(double writes) { reserved_writes_ = writes; }
   double reserved_writes() const { return reserved_writes_; }
 
   // The limits are those of all controllers together: each of the `sharers` that are alive takes an
   // equal share. Once the store has refused by rate, its lower limit (`state.next` of the settings)
   // counts, if one was announced.
-  void tick(double now, int sharers);
+  void tick(double now, int live_controllers);
   double writes_per_s() const { return writes_per_s_; }
 
-  double last_answer() const { return last_answer_; }
+  double last_response_at() const { return last_response_at_; }
   // When the first of the failures since the last answer came.
   double failing_since() const { return failing_since_; }
   // Whether the last request that ended was answered.
-  bool healthy() const { return last_answer_ >= last_failure_; }
+  bool is_healthy() const { return last_response_at_ >= last_failure_at_; }
 
  private:
-  void note_answer(const runtime::CallDone& done);
-  TransactionResult transaction_result(const runtime::CallDone& done);
-  double write_limit() const {
-    return lowered_ ? settings_.state_next_write_rps : settings_.state_write_rps;
+  void record_response(const runtime::CallDone& response);
+  TransactionResult transaction_result(const runtime::CallDone& response);
+  double total_writes_per_s() const {
+    return uses_lower_limit_ ? settings_.state_next_write_rps : settings_.state_write_rps;
   }
 
   const PlatformSettings& settings_;
   CallFn call_;
-  RateLimit requests_;
-  RateLimit writes_;
+  RateLimit request_limit_;
+  RateLimit write_limit_;
   double writes_per_s_;
   double reserved_writes_ = 0;
-  bool lowered_ = false;  // the store has refused by rate
+  bool uses_lower_limit_ = false;  // the store has refused by rate
   double now_ = 0;
-  double last_answer_ = 0;
-  double last_failure_ = -1;
+  double last_response_at_ = 0;
+  double last_failure_at_ = -1;
   double failing_since_ = 0;
 };
 
--- a/src/rooksill/store/committer.cc
+++ b/src/rooksill/store/committer.cc
@@ -5,16 +5,16 @@
 namespace rooksill::store {
 
 namespace {
-constexpr double kRetry = 0.2;  // s, after a read that has settled nothing
+constexpr double kRetryIntervalS = 0.2;  // s, after a read that has settled nothing
 }
 
 bool Committer::commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
-                       Client::TransactionDone done) {
-  std::vector<Write> copy = writes;
+                       Client::TransactionHandler done) {
+  std::vector<Write> applied_writes = writes;
   return client_.transact(
       preconditions, std::move(writes),
-      [this, copy = std::move(copy), done = std::move(done)](const TransactionResult& result) {
-        if (result.outcome == TransactionOutcome::kApplied) record_writes(copy, result.revision);
+      [this, applied_writes = std::move(applied_writes), done = std::move(done)](const TransactionResult& result) {
+        if (result.outcome == TransactionOutcome::kApplied) record_writes(applied_writes, result.revision);
         done(result);
       });
 }
@@ -35,22 +35,22 @@
 void Committer::refresh(std::vector<std::string> keys, std::function<void()> done) {
   const uint64_t id = next_id_++;
   refreshes_.emplace(id, Refresh{std::move(keys), std::move(done)});
-  advance(id);
+  read_next_key(id);
 }
 
-void Committer::advance(uint64_t id) {
+void Committer::read_next_key(uint64_t id) {
   auto it = refreshes_.find(id);
   if (it == refreshes_.end()) return;
   Refresh& refresh = it->second;
-  if (refresh.answered == refresh.keys.size()) {
+  if (refresh.keys_read == refresh.keys.size()) {
     auto done = std::move(refresh.done);
     refreshes_.erase(it);
     done();
     return;
   }
-  if (refresh.reading || context_.now.steady < refresh.next_try_at) return;
-  const std::string key = refresh.keys[refresh.answered];
-  refresh.reading =
+  if (refresh.is_reading || context_.now.steady < refresh.next_read_at) return;
+  const std::string key = refresh.keys[refresh.keys_read];
+  refresh.is_reading =
       client_.read(key, [this, id, key](const ReadResult& read) { on_read(id, key, read); });
 }
 
@@ -58,30 +58,30 @@
   auto it = refreshes_.find(id);
   if (it == refreshes_.end()) return;
   Refresh& refresh = it->second;
-  refresh.reading = false;
-  if (usable(key, read)) {
+  refresh.is_reading = false;
+  if (is_conclusive(key, read)) {
     if (read.status == ReadStatus::kFound) replica_.apply(key, read.value, read.revision);
-    ++refresh.answered;
+    ++refresh.keys_read;
   } else {
-    refresh.next_try_at = context_.now.steady + kRetry;
+    refresh.next_read_at = context_.now.steady + kRetryIntervalS;
   }
-  advance(id);
+  read_next_key(id);
 }
 
-bool Committer::usable(const std::string& key, const ReadResult& read) const {
-  if (read.status == ReadStatus::kUnanswered) return false;
+bool Committer::is_conclusive(const std::string& key, const ReadResult& read) const {
+  if (read.status == ReadStatus::kFailed) return false;
   // A page of machines that is read alone may lack what a split has put on another page: a machine
   // would look gone. It is left to the watch, which brings both.
   const auto parsed = wire::parse_store_key(key);
-  const bool machines = parsed && parsed->kind == wire::KeyKind::kMachines;
-  return !machines || read.revision <= replica_.synced_revision;
+  const bool is_machine_page = parsed && parsed->kind == wire::KeyKind::kMachines;
+  return !is_machine_page || read.revision <= replica_.synced_revision;
 }
 
 void Committer::tick() {
   std::vector<uint64_t> due;
   for (const auto& [id, refresh] : refreshes_)
-    if (!refresh.reading) due.push_back(id);
-  for (uint64_t id : due) advance(id);
+    if (!refresh.is_reading) due.push_back(id);
+  for (uint64_t id : due) read_next_key(id);
 }
 
 }  // namespace rooksill::store
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -24,7 +24,7 @@
 
   // As Client::transact; what was applied is in the replica before `done` runs.
   bool commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
-              Client::TransactionDone done);
+              Client::TransactionHandler done);
 
   // Reads keys back until each is answered; then runs `done`. Used after an unknown outcome and
   // after a conflict: nothing is decided about these keys in the meantime.
@@ -34,23 +34,23 @@
   void tick();
 
   // What was written since the last call, for the other controllers.
-  std::vector<wire::Update> take_updates() { return std::exchange(updates_, {}); }
+  std::vector<wire::Update> pop_updates() { return std::exchange(updates_, {}); }
 
  private:
   // The keys of one refresh() are read one after the other.
   struct Refresh {
     std::vector<std::string> keys;
     std::function<void()> done;
-    size_t answered = 0;     // of the keys
-    bool reading = false;    // the next key
-    double next_try_at = 0;  // by the steady clock
+    size_t keys_read = 0;     // of the keys
+    bool is_reading = false;    // the next key
+    double next_read_at = 0;  // by the steady clock
   };
 
   void record_writes(const std::vector<Write>& writes, model::Revision revision);
-  void advance(uint64_t id);
+  void read_next_key(uint64_t id);
   void on_read(uint64_t id, const std::string& key, const ReadResult& read);
   // Whether the answer settles what the key is now.
-  bool usable(const std::string& key, const ReadResult& read) const;
+  bool is_conclusive(const std::string& key, const ReadResult& read) const;
 
   runtime::Context& context_;
   Replica& replica_;
--- a/src/rooksill/store/machine_load_index.cc
+++ b/src/rooksill/store/machine_load_index.cc
@@ -7,7 +7,7 @@
   MachineLoad& load = loads_[machine];
   if (!load.tasks.insert(ref).second) return;
   load.used += job.spec.request;
-  if (job.spec.shape == model::Shape::kService) load.replica_cpus += job.spec.request.cpus;
+  if (job.spec.shape == model::Shape::kService) load.service_cpus += job.spec.request.cpus;
 }
 
 void MachineLoadIndex::remove(const model::Job& job, const model::TaskRef& ref,
@@ -20,10 +20,10 @@
     return;
   }
   load.used -= job.spec.request;
-  if (job.spec.shape == model::Shape::kService) load.replica_cpus -= job.spec.request.cpus;
+  if (job.spec.shape == model::Shape::kService) load.service_cpus -= job.spec.request.cpus;
 }
 
-const MachineLoad& MachineLoadIndex::of(const std::string& machine) const {
+const MachineLoad& MachineLoadIndex::load_on(const std::string& machine) const {
   static const MachineLoad kNone;
   auto it = loads_.find(machine);
   return it == loads_.end() ? kNone : it->second;
--- a/src/rooksill/store/machine_load_index.h
+++ b/src/rooksill/store/machine_load_index.h
@@ -13,7 +13,7 @@
 struct MachineLoad {
   std::set<model::TaskRef> tasks;
   model::Resources used;
-  double replica_cpus = 0;  // of the tasks of services
+  double service_cpus = 0;  // of the tasks of services
 };
 
 class MachineLoadIndex {
@@ -24,7 +24,7 @@
   void remove(const model::Job& job, const model::TaskRef& ref, const std::string& machine);
 
   // An empty load if nothing is on the machine.
-  const MachineLoad& of(const std::string& machine) const;
+  const MachineLoad& load_on(const std::string& machine) const;
 
  private:
   std::unordered_map<std::string, MachineLoad> loads_;  // only of machines with tasks
--- a/src/rooksill/store/rate_limit.cc
+++ b/src/rooksill/store/rate_limit.cc
@@ -5,21 +5,21 @@
 namespace rooksill::store {
 
 namespace {
-constexpr double kFull = 0.95;  // of the bucket, which a large transaction needs
+constexpr double kFullBucketRatio = 0.95;  // of the bucket, which a large transaction needs
 }
 
 void RateLimit::refill(double now) {
-  level_ = std::min(per_s_, level_ + (now - last_refill_) * per_s_);
+  tokens_ = std::min(rate_per_s_, tokens_ + (now - last_refill_) * rate_per_s_);
   last_refill_ = now;
 }
 
-bool RateLimit::has(double n, double reserve) const {
-  return level_ >= std::min(n + reserve * per_s_, per_s_ * kFull);
+bool RateLimit::has_tokens(double tokens, double reserve) const {
+  return tokens_ >= std::min(tokens + reserve * rate_per_s_, rate_per_s_ * kFullBucketRatio);
 }
 
-bool RateLimit::take(double n) {
-  if (!has(n)) return false;
-  level_ -= n;
+bool RateLimit::try_acquire(double tokens) {
+  if (!has_tokens(tokens)) return false;
+  tokens_ -= tokens;
   return true;
 }
 
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -15,9 +15,9 @@
 namespace {
 
 // As many as fit the present limit with the longest names, and a lower one to come with usual ones.
-uint32_t items_per_value(const PlatformSettings& settings, size_t usual_bytes) {
-  const size_t items = std::min(settings.state_present_value_bytes / model::kItemBytes,
-                                settings.state_value_bytes / usual_bytes);
+uint32_t items_per_value(const PlatformSettings& settings, size_t typical_item_bytes) {
+  const size_t items = std::min(settings.state_present_value_bytes / model::kMaxItemBytes,
+                                settings.state_value_bytes / typical_item_bytes);
   return static_cast<uint32_t>(std::max<size_t>(1, items));
 }
 
@@ -26,9 +26,9 @@
 bool replace_record(Record& known, wire::Decoded<Record> (*decode)(const json&), const json& value,
                     model::Revision revision) {
   if (revision <= known.revision) return false;
-  auto fresh = decode(value);
-  if (!fresh) return false;
-  known = std::move(*fresh);
+  auto decoded = decode(value);
+  if (!decoded) return false;
+  known = std::move(*decoded);
   known.revision = revision;
   return true;
 }
@@ -38,8 +38,8 @@
 Replica::Replica(const PlatformSettings& settings)
     : leases(static_cast<size_t>(settings.controllers)),
       pages(static_cast<size_t>(settings.controllers)),
-      tasks_per_shard_(items_per_value(settings, model::kUsualTaskBytes)),
-      machines_per_page_(items_per_value(settings, model::kUsualMachineBytes)) {}
+      tasks_per_shard_(items_per_value(settings, model::kTypicalTaskBytes)),
+      machines_per_page_(items_per_value(settings, model::kTypicalMachineBytes)) {}
 
 // ---- look-ups ---------------------------------------------------------------------------------
 
@@ -136,9 +136,9 @@
 
 bool Replica::apply_term(const json& value, model::Revision revision) {
   if (revision <= term_revision) return false;
-  const auto fresh = wire::decode_term(value);
-  if (!fresh) return false;
-  term = *fresh;
+  const auto decoded = wire::decode_term(value);
+  if (!decoded) return false;
+  term = *decoded;
   term_revision = revision;
   return true;
 }
@@ -146,21 +146,21 @@
 void Replica::remove(const std::string& key, model::Revision revision) {
   const auto parsed = wire::parse_store_key(key);
   if (!parsed) return;
-  if (parsed->kind == wire::KeyKind::kLeader) return forget_leader(revision);
+  if (parsed->kind == wire::KeyKind::kLeader) return clear_leader(revision);
   if (parsed->kind != wire::KeyKind::kShard) return;
   // A shard is deleted only when its job is over and none of its tasks is on a machine.
-  const ShardPlace place = find_shard(*parsed);
-  if (place.shard == nullptr || revision <= place.shard->revision) return;
-  std::vector<model::TaskState> tasks = place.shard->tasks;
+  const ShardLocation location = find_shard(*parsed);
+  if (location.shard == nullptr || revision <= location.shard->revision) return;
+  std::vector<model::TaskState> tasks = location.shard->tasks;
   for (auto& task : tasks) {
     task.machine.clear();
     task.done = true;
   }
-  const uint32_t first_task = parsed->shard * place.job->tasks_per_shard;
-  replace_tasks(*place.job, *place.shard, first_task, std::move(tasks), revision);
+  const uint32_t first_task = parsed->shard * location.job->tasks_per_shard;
+  replace_tasks(*location.job, *location.shard, first_task, std::move(tasks), revision);
 }
 
-void Replica::forget_leader(model::Revision revision) {
+void Replica::clear_leader(model::Revision revision) {
   if (revision > leader.revision) leader = model::Leadership{};
 }
 
--- a/src/rooksill/store/replica.h
+++ b/src/rooksill/store/replica.h
@@ -44,9 +44,9 @@
   // The key was deleted at this revision.
   void remove(const std::string& key, model::Revision revision);
   // Nobody leads at this revision.
-  void forget_leader(model::Revision revision);
+  void clear_leader(model::Revision revision);
   // Another controller has learned that the job is cancelled. Its record comes later.
-  void record_cancelled(const std::string& id);
+  void mark_cancelled(const std::string& id);
 
   // ---- look-ups; null: not known here -----------------------------------------------------------
 
@@ -55,21 +55,21 @@
   const model::Machine* machine(const std::string& name) const;
   const model::TaskState* task(const model::TaskRef& ref) const;
 
-  const MachineLoad& load(const std::string& machine) const { return loads_.of(machine); }
+  const MachineLoad& load(const std::string& machine) const { return loads_.load_on(machine); }
   const std::set<model::TaskRef>& placed_on(const std::string& machine) const {
     return load(machine).tasks;
   }
   // A machine in no list has been released, but only as far as the lists are known: one that was
   // rented after them looks gone as well. See lists_cover().
-  bool machine_gone(const std::string& name) const { return machines.count(name) == 0; }
+  bool is_machine_unlisted(const std::string& name) const { return machines.count(name) == 0; }
   // Whether a machine of the shard's tasks that is in no list is gone for certain: all changes up
   // to `synced_revision` are known, and a task's machine was listed before its shard was written.
-  bool lists_cover(const model::TaskShard& shard) const {
+  bool has_current_lists_for(const model::TaskShard& shard) const {
     return synced_revision >= shard.revision;
   }
   // Whether the task is to be placed: it is on no machine, or on one that is gone.
-  bool waits(const model::TaskState& task) const {
-    return !task.done && (task.machine.empty() || machine_gone(task.machine));
+  bool is_task_pending(const model::TaskState& task) const {
+    return !task.done && (task.machine.empty() || is_machine_unlisted(task.machine));
   }
   uint32_t unplaced(const model::Job& job) const { return job.spec.tasks - job.done - job.placed; }
   // How many of a job's tasks are on listed machines of each zone.
@@ -97,7 +97,7 @@
   std::map<std::string, model::VersionRecord> versions;           // by controller
   model::UpgradeRecord upgrade;
 
-  std::set<std::string> waiting_jobs;   // open, with tasks to place
+  std::set<std::string> pending_jobs;   // open, with tasks to place
   std::set<std::string> finished_jobs;  // open, with all tasks done
 
   ReplicaChanges changes;
@@ -110,7 +110,7 @@
   double synced_at = -1e9;
 
  private:
-  struct ShardPlace {
+  struct ShardLocation {
     model::Job* job = nullptr;
     model::TaskShard* shard = nullptr;
   };
@@ -127,16 +127,16 @@
   bool apply_term(const nlohmann::json& value, model::Revision revision);
 
   // Jobs and their tasks.
-  model::Job& add_job(const std::string& id, model::Job fresh);
-  void record_end(model::Job& job, model::JobEnd end);
-  void finish_tasks(model::Job& job);
-  void touch(const model::Job& job);
+  model::Job& add_job(const std::string& id, model::Job decoded);
+  void set_end(model::Job& job, model::JobEnd end);
+  void mark_all_tasks_done(model::Job& job);
+  void mark_changed(const model::Job& job);
   // Both null if the job or its shard is not known here.
-  ShardPlace find_shard(const wire::StoreKey& key);
+  ShardLocation find_shard(const wire::StoreKey& key);
   void replace_tasks(model::Job& job, model::TaskShard& shard, uint32_t first_task,
                      std::vector<model::TaskState> tasks, model::Revision revision);
-  void replace_task(const model::Job& job, const model::TaskRef& ref, const model::TaskState& was,
-                    const model::TaskState& is);
+  void replace_task(const model::Job& job, const model::TaskRef& ref, const model::TaskState& before,
+                    const model::TaskState& after);
   void add_load(const model::Job& job, const model::TaskRef& ref, const std::string& machine);
   void remove_load(const model::Job& job, const model::TaskRef& ref, const std::string& machine);
 
@@ -144,13 +144,13 @@
   void replace_page(int partition, int page, const std::map<std::string, model::Machine>& listed,
                     model::Revision revision);
   // The names of machines that are in no page any more, which are forgotten.
-  std::vector<std::string> forget_unlisted(int partition, int page,
+  std::vector<std::string> remove_unlisted(int partition, int page,
                                            const std::map<std::string, model::Machine>& listed);
 
   // What is summed up from tasks.
   void recount(model::Job& job, model::TaskShard& shard);
   void recount_tasks_on(const std::string& machine);
-  void index(const model::Job& job);
+  void update_job_sets(const model::Job& job);
 
   uint32_t tasks_per_shard_;
   uint32_t machines_per_page_;
--- a/src/rooksill/store/replica_changes.h
+++ b/src/rooksill/store/replica_changes.h
@@ -22,8 +22,8 @@
 // Gathered while changes are applied. Each reader empties what it has read.
 struct ReplicaChanges {
   std::vector<TaskEvent> events;  // in the order of the changes
-  std::set<std::string> touched_jobs;
-  std::unordered_set<std::string> touched_machines;
+  std::set<std::string> changed_jobs;
+  std::unordered_set<std::string> changed_machines;
   std::vector<std::string> cancelled;  // jobs, in the order in which this was learned
 };
 
--- a/src/rooksill/store/replica_jobs.cc
+++ b/src/rooksill/store/replica_jobs.cc
@@ -20,58 +20,58 @@
 bool Replica::apply_job(const std::string& id, const json& value, model::Revision revision) {
   model::Job* known = job(id);
   if (known != nullptr && revision <= known->revision) return false;
-  auto fresh = wire::decode_job(value);
-  if (!fresh) return false;
-  const model::JobEnd end = fresh->end;
-  if (end != model::JobEnd::kDone && fresh->spec.id != id) return false;
+  auto decoded = wire::decode_job(value);
+  if (!decoded) return false;
+  const model::JobEnd end = decoded->end;
+  if (end != model::JobEnd::kDone && decoded->spec.id != id) return false;
   if (known == nullptr)
-    known = &add_job(id, std::move(*fresh));
+    known = &add_job(id, std::move(*decoded));
   else
-    record_end(*known, end);  // only the end of a job changes after its creation
+    set_end(*known, end);  // only the end of a job changes after its creation
   known->revision = revision;
-  if (known->end == model::JobEnd::kDone) finish_tasks(*known);
-  touch(*known);
+  if (known->end == model::JobEnd::kDone) mark_all_tasks_done(*known);
+  mark_changed(*known);
   return true;
 }
 
-model::Job& Replica::add_job(const std::string& id, model::Job fresh) {
-  model::JobEnd end = fresh.end;
+model::Job& Replica::add_job(const std::string& id, model::Job decoded) {
+  model::JobEnd end = decoded.end;
   const bool cancelled = cancelled_before_record_.erase(id) != 0;
   if (cancelled && end == model::JobEnd::kOpen) end = model::JobEnd::kCancelled;
-  fresh.end = model::JobEnd::kOpen;
-  fresh.spec.id = id;
-  fresh.image = image_number(fresh.spec.image);
+  decoded.end = model::JobEnd::kOpen;
+  decoded.spec.id = id;
+  decoded.image = image_number(decoded.spec.image);
   if (end != model::JobEnd::kDone) {
-    fresh.shards.resize(shard_count(fresh));
-    for (uint32_t shard = 0; shard < fresh.shards.size(); ++shard)
-      fresh.shards[shard].tasks.resize(shard_size(fresh, shard));
+    decoded.shards.resize(shard_count(decoded));
+    for (uint32_t shard = 0; shard < decoded.shards.size(); ++shard)
+      decoded.shards[shard].tasks.resize(shard_size(decoded, shard));
   }
-  model::Job& added = jobs.emplace(id, std::move(fresh)).first->second;
-  record_end(added, end);
+  model::Job& added = jobs.emplace(id, std::move(decoded)).first->second;
+  set_end(added, end);
   return added;
 }
 
 // An end is final: a record from before it, that comes late, does not take it back.
-void Replica::record_end(model::Job& job, model::JobEnd end) {
+void Replica::set_end(model::Job& job, model::JobEnd end) {
   if (end == job.end || job.over()) return;
   job.end = end;
   if (end == model::JobEnd::kCancelled) changes.cancelled.push_back(job.spec.id);
 }
 
-void Replica::record_cancelled(const std::string& id) {
+void Replica::mark_cancelled(const std::string& id) {
   model::Job* known = job(id);
   if (known == nullptr) {
     cancelled_before_record_.insert(id);
     return;
   }
   if (known->over()) return;
-  record_end(*known, model::JobEnd::kCancelled);
-  touch(*known);
+  set_end(*known, model::JobEnd::kCancelled);
+  mark_changed(*known);
 }
 
 // The job is done. All its tasks are done, whatever was known of them; their shards are of no more
 // use.
-void Replica::finish_tasks(model::Job& job) {
+void Replica::mark_all_tasks_done(model::Job& job) {
   for (uint32_t shard = 0; shard < job.shards.size(); ++shard) {
     const std::vector<model::TaskState>& tasks = job.shards[shard].tasks;
     for (uint32_t i = 0; i < tasks.size(); ++i) {
@@ -88,27 +88,27 @@
   job.placed = 0;
 }
 
-void Replica::touch(const model::Job& job) {
-  index(job);
-  changes.touched_jobs.insert(job.spec.id);
+void Replica::mark_changed(const model::Job& job) {
+  update_job_sets(job);
+  changes.changed_jobs.insert(job.spec.id);
   for (const auto& shard : job.shards)
     for (const auto& task : shard.tasks)
-      if (!task.machine.empty()) changes.touched_machines.insert(task.machine);
+      if (!task.machine.empty()) changes.changed_machines.insert(task.machine);
 }
 
-Replica::ShardPlace Replica::find_shard(const wire::StoreKey& key) {
+Replica::ShardLocation Replica::find_shard(const wire::StoreKey& key) {
   model::Job* known = job(key.name);
   if (known == nullptr || key.shard >= known->shards.size()) return {};
   return {known, &known->shards[key.shard]};
 }
 
 bool Replica::apply_shard(const wire::StoreKey& key, const json& value, model::Revision revision) {
-  const ShardPlace place = find_shard(key);
-  if (place.shard == nullptr || revision <= place.shard->revision) return false;
-  auto tasks = wire::decode_shard(value, shard_size(*place.job, key.shard));
+  const ShardLocation location = find_shard(key);
+  if (location.shard == nullptr || revision <= location.shard->revision) return false;
+  auto tasks = wire::decode_shard(value, shard_size(*location.job, key.shard));
   if (!tasks) return false;
-  const uint32_t first_task = key.shard * place.job->tasks_per_shard;
-  replace_tasks(*place.job, *place.shard, first_task, std::move(*tasks), revision);
+  const uint32_t first_task = key.shard * location.job->tasks_per_shard;
+  replace_tasks(*location.job, *location.shard, first_task, std::move(*tasks), revision);
   return true;
 }
 
@@ -121,35 +121,35 @@
   shard.tasks = std::move(tasks);
   shard.revision = revision;
   recount(job, shard);
-  changes.touched_jobs.insert(job.spec.id);
+  changes.changed_jobs.insert(job.spec.id);
 }
 
 void Replica::replace_task(const model::Job& job, const model::TaskRef& ref,
-                           const model::TaskState& was, const model::TaskState& is) {
-  const bool moved = was.machine != is.machine;
-  if (moved && !was.machine.empty()) {
-    remove_load(job, ref, was.machine);
-    if (!is.done && job.over())
-      changes.events.push_back({TaskEvent::Kind::kLeft, ref.job, was.machine});
+                           const model::TaskState& before, const model::TaskState& after) {
+  const bool moved = before.machine != after.machine;
+  if (moved && !before.machine.empty()) {
+    remove_load(job, ref, before.machine);
+    if (!after.done && job.over())
+      changes.events.push_back({TaskEvent::Kind::kLeft, ref.job, before.machine});
   }
-  if (moved && !is.machine.empty()) {
-    add_load(job, ref, is.machine);
-    if (is.attempt == 1)
-      changes.events.push_back({TaskEvent::Kind::kFirstPlaced, ref.job, is.machine});
+  if (moved && !after.machine.empty()) {
+    add_load(job, ref, after.machine);
+    if (after.attempt == 1)
+      changes.events.push_back({TaskEvent::Kind::kFirstPlaced, ref.job, after.machine});
   }
-  if (is.done && !was.done)
-    changes.events.push_back({TaskEvent::Kind::kDone, ref.job, was.machine});
+  if (after.done && !before.done)
+    changes.events.push_back({TaskEvent::Kind::kDone, ref.job, before.machine});
 }
 
 void Replica::add_load(const model::Job& job, const model::TaskRef& ref,
                        const std::string& machine) {
-  changes.touched_machines.insert(machine);
+  changes.changed_machines.insert(machine);
   loads_.add(job, ref, machine);
 }
 
 void Replica::remove_load(const model::Job& job, const model::TaskRef& ref,
                           const std::string& machine) {
-  changes.touched_machines.insert(machine);
+  changes.changed_machines.insert(machine);
   loads_.remove(job, ref, machine);
 }
 
@@ -160,23 +160,23 @@
   for (const auto& task : shard.tasks) {
     if (task.done)
       ++shard.done;
-    else if (!waits(task))
+    else if (!is_task_pending(task))
       ++shard.placed;
   }
   job.done += shard.done;
   job.placed += shard.placed;
-  index(job);
+  update_job_sets(job);
 }
 
-void Replica::index(const model::Job& job) {
+void Replica::update_job_sets(const model::Job& job) {
   auto set_member = [&](std::set<std::string>& ids, bool member) {
     if (member)
       ids.insert(job.spec.id);
     else
       ids.erase(job.spec.id);
   };
-  set_member(waiting_jobs, !job.over() && unplaced(job) > 0);
-  set_member(finished_jobs, !job.over() && job.finished_tasks());
+  set_member(pending_jobs, !job.over() && unplaced(job) > 0);
+  set_member(finished_jobs, !job.over() && job.has_all_tasks_done());
 }
 
 }  // namespace rooksill::store
--- a/src/rooksill/store/replica_machines.cc
+++ b/src/rooksill/store/replica_machines.cc
@@ -10,12 +10,12 @@
 using nlohmann::json;
 
 namespace {
-constexpr int kMaxPages = 1000;  // of a partition's list: no controller writes more
+constexpr int kMaxPagesPerPartition = 1000;  // of a partition's list: no controller writes more
 }
 
 bool Replica::apply_machines(int partition, int page, const json& value, model::Revision revision) {
   const auto number = static_cast<size_t>(partition);
-  if (number >= pages.size() || page >= kMaxPages) return false;
+  if (number >= pages.size() || page >= kMaxPagesPerPartition) return false;
   std::vector<MachinePage>& list = pages[number];
   const auto page_number = static_cast<size_t>(page);
   if (list.size() <= page_number) list.resize(page_number + 1);
@@ -29,7 +29,7 @@
 void Replica::replace_page(int partition, int page,
                            const std::map<std::string, model::Machine>& listed,
                            model::Revision revision) {
-  std::vector<std::string> changed = forget_unlisted(partition, page, listed);
+  std::vector<std::string> changed = remove_unlisted(partition, page, listed);
   MachinePage& known_page = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
   known_page.revision = revision;
   known_page.names.clear();
@@ -45,14 +45,14 @@
       known->second.page = page;
   }
   for (const auto& name : changed) {
-    changes.touched_machines.insert(name);
+    changes.changed_machines.insert(name);
     recount_tasks_on(name);
   }
 }
 
-std::vector<std::string> Replica::forget_unlisted(
+std::vector<std::string> Replica::remove_unlisted(
     int partition, int page, const std::map<std::string, model::Machine>& listed) {
-  std::vector<std::string> forgotten;
+  std::vector<std::string> removed;
   const MachinePage& known_page = pages[static_cast<size_t>(partition)][static_cast<size_t>(page)];
   for (const auto& name : known_page.names) {
     if (listed.count(name) != 0) continue;
@@ -61,9 +61,9 @@
     const model::Machine* known = machine(name);
     if (known != nullptr && (known->partition != partition || known->page != page)) continue;
     machines.erase(name);
-    forgotten.push_back(name);
+    removed.push_back(name);
   }
-  return forgotten;
+  return removed;
 }
 
 // A machine came or went: its tasks are placed, or are to be placed again.
@@ -73,7 +73,7 @@
   for (const auto& id : shards) {
     model::Job& job = jobs.at(id.job);
     recount(job, job.shards[id.index]);
-    changes.touched_jobs.insert(id.job);
+    changes.changed_jobs.insert(id.job);
   }
 }
 
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -21,53 +21,53 @@
 }  // namespace
 
 // Between two watches, in s: each is a request, and a busy store answers each at once.
-double ReplicaSync::pause() const {
-  const auto& p = ctx_.settings.platform;
+double ReplicaSync::watch_interval_s() const {
+  const auto& p = context_.settings.platform;
   return p.controllers / (kWatchShare * p.state_rps);
 }
 
 template <typename T>
-std::optional<T> ReplicaSync::decoded(const runtime::CallDone& done,
+std::optional<T> ReplicaSync::decode_response(const runtime::CallDone& response,
                                       wire::Decoded<T> (*decode)(const std::string&)) {
-  if (done.status != kOk) return std::nullopt;
-  auto answer = decode(done.body);
+  if (response.status != kOk) return std::nullopt;
+  auto answer = decode(response.body);
   if (answer) return std::move(*answer);
-  ctx_.debug("state", "{}", answer.error().describe());
+  context_.debug("state", "{}", answer.error().describe());
   return std::nullopt;
 }
 
 void ReplicaSync::tick() {
-  if (busy_ || ctx_.now.steady < next_) return;
-  if (listed_)
+  if (has_pending_request_ || context_.now.steady < next_request_at_) return;
+  if (is_listing_complete_)
     watch();
   else
     list("");
 }
 
 void ReplicaSync::list(const std::string& after) {
-  busy_ = client_.request("GET", wire::list_path(wire::kPrefix, after), "", kListTimeout,
-                          [this, after](const runtime::CallDone& done) { on_page(done, after); });
-  if (!busy_) next_ = ctx_.now.steady + pause();
+  has_pending_request_ = client_.request("GET", wire::list_path(wire::kPrefix, after), "", kListTimeout,
+                          [this, after](const runtime::CallDone& response) { on_page(response, after); });
+  if (!has_pending_request_) next_request_at_ = context_.now.steady + watch_interval_s();
 }
 
-void ReplicaSync::on_page(const runtime::CallDone& done, const std::string& after) {
-  busy_ = false;
-  auto page = decoded(done, wire::decode_list_page);
+void ReplicaSync::on_page(const runtime::CallDone& response, const std::string& after) {
+  has_pending_request_ = false;
+  auto page = decode_response(response, wire::decode_list_page);
   if (!page) {
-    next_ = ctx_.now.steady + kRetry;
+    next_request_at_ = context_.now.steady + kRetry;
     return;
   }
   if (after.empty()) {
     revision_ = page->revision;
-    leader_seen_ = false;
+    has_leader_key_ = false;
   }
   for (const auto& item : page->items) {
-    if (item.key == wire::kLeaderKey) leader_seen_ = true;
+    if (item.key == wire::kLeaderKey) has_leader_key_ = true;
     replica_.apply(item.key, item.value, item.revision);
   }
   if (page->more && !page->items.empty() && !page->items.back().key.empty()) {
     list(page->items.back().key);
-    if (!busy_) listed_ = false;  // start again from the first page
+    if (!has_pending_request_) is_listing_complete_ = false;  // start again from the first page
     return;
   }
   on_last_page();
@@ -75,11 +75,11 @@
 
 void ReplicaSync::on_last_page() {
   // A leader's key that is in no page has gone. A leader elected since is above this revision.
-  if (!leader_seen_) replica_.forget_leader(model::next(revision_));
-  listed_ = true;
+  if (!has_leader_key_) replica_.clear_leader(model::next(revision_));
+  is_listing_complete_ = true;
   replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   if (!replica_.synced)
-    ctx_.info("state", "replica loaded: {} jobs, revision {}", replica_.jobs.size(),
+    context_.info("state", "replica loaded: {} jobs, revision {}", replica_.jobs.size(),
               model::number(revision_));
   replica_.synced = true;
   watch();
@@ -87,25 +87,25 @@
 
 void ReplicaSync::watch() {
   // After a pause the next answer has to come at once, also when nothing has changed.
-  const bool resumed = replica_.synced_at < ctx_.resumed_at;
-  const double wait = resumed ? 0 : kWatchReports * ctx_.settings.platform.report_s;
-  asked_ = ctx_.now.steady;
-  busy_ = client_.request("GET", wire::watch_path(wire::kPrefix, revision_, wait), "",
-                          wait + kWatchPatience,
-                          [this](const runtime::CallDone& done) { on_watch(done); });
-  if (!busy_) next_ = ctx_.now.steady + pause();
+  const bool resumed = replica_.synced_at < context_.resumed_at;
+  const double max_wait_s = resumed ? 0 : kWatchReports * context_.settings.platform.report_s;
+  watch_sent_at_ = context_.now.steady;
+  has_pending_request_ = client_.request("GET", wire::watch_path(wire::kPrefix, revision_, max_wait_s), "",
+                          max_wait_s + kWatchPatience,
+                          [this](const runtime::CallDone& response) { on_watch(response); });
+  if (!has_pending_request_) next_request_at_ = context_.now.steady + watch_interval_s();
 }
 
-void ReplicaSync::on_watch(const runtime::CallDone& done) {
-  busy_ = false;
-  if (done.status == kHistoryGone) {
-    listed_ = false;
-    next_ = ctx_.now.steady;
+void ReplicaSync::on_watch(const runtime::CallDone& response) {
+  has_pending_request_ = false;
+  if (response.status == kHistoryGone) {
+    is_listing_complete_ = false;
+    next_request_at_ = context_.now.steady;
     return;
   }
-  const auto answer = decoded(done, wire::decode_watch);
+  const auto answer = decode_response(response, wire::decode_watch);
   if (!answer) {
-    next_ = ctx_.now.steady + kRetry;
+    next_request_at_ = context_.now.steady + kRetry;
     return;
   }
   for (const auto& change : answer->changes) {
@@ -117,8 +117,8 @@
   }
   revision_ = std::max(revision_, answer->revision);
   replica_.synced_revision = std::max(replica_.synced_revision, revision_);
-  replica_.synced_at = asked_;
-  next_ = ctx_.now.steady + pause();
+  replica_.synced_at = watch_sent_at_;
+  next_request_at_ = context_.now.steady + watch_interval_s();
 }
 
 }  // namespace rooksill::store
--- a/src/rooksill/wire/names.cc
+++ b/src/rooksill/wire/names.cc
@@ -21,7 +21,7 @@
 }
 
 bool valid_team_name(const std::string& team) {
-  return !team.empty() && team.size() <= model::kMaxName &&
+  return !team.empty() && team.size() <= model::kMaxNameBytes &&
          std::all_of(team.begin(), team.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
          });
--- a/src/rooksill/wire/store_codec.cc
+++ b/src/rooksill/wire/store_codec.cc
@@ -56,7 +56,7 @@
     return job;
   }
   job.spec = read_spec(member(value, "s"));
-  job.submitted = required<double>(value, "t");
+  job.submitted_at = required<double>(value, "t");
   job.tasks_per_shard = required<uint32_t>(value, "k");
   if (job.tasks_per_shard == 0) throw FieldError{"k", "is zero", ""};
   return job;
@@ -90,7 +90,7 @@
     machine.spot = group.at(2).get<int>() != 0;
     for (const auto& entry : group.at(3)) {
       machine.name = entry.at(0);
-      machine.rented = static_cast<double>(entry.at(1).get<int64_t>());
+      machine.rented_at = static_cast<double>(entry.at(1).get<int64_t>());
       machines[machine.name] = machine;
     }
   }
@@ -146,7 +146,7 @@
 json encode_job(const model::Job& job) {
   if (job.end == model::JobEnd::kDone) return json{{"e", int(job.end)}, {"n", job.spec.tasks}};
   return json{{"s", encode_spec(job.spec)},
-              {"t", job.submitted},
+              {"t", job.submitted_at},
               {"e", int(job.end)},
               {"k", job.tasks_per_shard}};
 }
@@ -196,7 +196,7 @@
   for (const auto& [name, machine] : machines) {
     json& group = groups[{machine.type, machine.zone, machine.spot}];
     if (group.is_null()) group = json::array();
-    group.push_back(json::array({name, static_cast<int64_t>(machine.rented)}));
+    group.push_back(json::array({name, static_cast<int64_t>(machine.rented_at)}));
   }
   json encoded = json::array();
   for (auto& [kind, members] : groups) {
@@ -213,8 +213,8 @@
 json encode_liveness(const model::LivenessRecord& record) {
   return json{{"i", record.incarnation},
               {"u", record.suspects_itself},
-              {"f", record.meant_for},
-              {"q", record.silent},
+              {"f", record.intended_recipients},
+              {"q", record.unreachable_machines},
               {"d", record.unreachable_zones}};
 }
 
@@ -223,8 +223,8 @@
     model::LivenessRecord record;
     record.incarnation = required<uint64_t>(value, "i");
     record.suspects_itself = required<bool>(value, "u");
-    record.meant_for = required<std::vector<std::string>>(value, "f");
-    record.silent = required<std::vector<std::string>>(value, "q");
+    record.intended_recipients = required<std::vector<std::string>>(value, "f");
+    record.unreachable_machines = required<std::vector<std::string>>(value, "q");
     record.unreachable_zones = required<std::vector<std::string>>(value, "d");
     return record;
   });
