--- a/src/rooksill/model/coordination.h
+++ b/src/rooksill/model/coordination.h
@@ -55,11 +55,11 @@
 struct LivenessRecord {
   Revision revision = kNoRevision;
   uint64_t incarnation = 0;
-  bool suspects_itself =
-      false;  // nearly all of its machines are unreachable, so it is likely cut off itself
-  std::vector<std::string>
-      intended_recipients;  // controllers without a connection from or to this one
-  std::vector<std::string> unreachable_machines;  // a limited number of its unreachable machines
+  // Nearly all of its machines are unreachable, so it is likely to be cut off itself.
+  bool suspects_itself = false;
+  // Controllers that it receives no messages from, or that receive none from it.
+  std::vector<std::string> intended_recipients;
+  std::vector<std::string> unreachable_machines;  // at most a limited number of them
   std::vector<std::string> unreachable_zones;     // zones whose machines it cannot reach
 };
 
--- a/src/rooksill/model/job.h
+++ b/src/rooksill/model/job.h
@@ -49,7 +49,7 @@
   uint32_t max_tasks_in_zone() const { return (tasks + 1) / 2; }
   // Returns whether tasks may run on machines of this type.
   bool allows_type(const std::string& name) const;
-  // Returns whether the job leaves the machine type open.
+  // Returns whether tasks may run on machines of any type.
   bool allows_any_type() const { return types.empty(); }
   // Returns how many whole tasks fit into the available resources; infinity if a task requests
   // nothing.
--- a/src/rooksill/store/rate_limit.cc
+++ b/src/rooksill/store/rate_limit.cc
@@ -5,9 +5,10 @@
 namespace rooksill::store {
 
 namespace {
-constexpr double kFullBucketRatio =
-    0.95;  // fill level at which a request for more than the capacity is allowed
-}
+// Fill level at which a request for more than the capacity is allowed: a large transaction may have
+// more writes than one second's worth.
+constexpr double kFullBucketRatio = 0.95;
+}  // namespace
 
 void RateLimit::refill(double now) {
   tokens_ = std::min(rate_per_s_, tokens_ + (now - last_refill_) * rate_per_s_);
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -69,14 +69,14 @@
 }
 
 std::map<std::string, uint32_t> Replica::tasks_by_zone(const model::Job& job) const {
-  std::map<std::string, uint32_t> tasks_by_zone;
+  std::map<std::string, uint32_t> counts;
   for (const auto& shard : job.shards) {
     for (const auto& task : shard.tasks) {
       const model::Machine* known = task.machine.empty() ? nullptr : machine(task.machine);
-      if (known != nullptr) ++tasks_by_zone[known->zone];
+      if (known != nullptr) ++counts[known->zone];
     }
   }
-  return tasks_by_zone;
+  return counts;
 }
 
 // ---- changes ----------------------------------------------------------------------------------
--- a/src/rooksill/store/replica.h
+++ b/src/rooksill/store/replica.h
@@ -52,9 +52,12 @@
 
   // ---- lookups; nullptr: unknown here ---------------------------------------------------------
 
+  // Returns the job with this id.
   model::Job* job(const std::string& id);
   const model::Job* job(const std::string& id) const;
+  // Returns the listed machine with this name.
   const model::Machine* machine(const std::string& name) const;
+  // Returns the task's state. Also nullptr once the job is done, as its shards are dropped.
   const model::TaskState* task(const model::TaskRef& ref) const;
 
   // Returns the machine's load, which is empty if it has no tasks.
@@ -72,8 +75,8 @@
   bool has_current_lists_for(const model::TaskShard& shard) const {
     return synced_revision >= shard.revision;
   }
-  // Returns whether the task needs a machine: it is not done and on no machine, or on an unlisted
-  // one.
+  // Returns whether the task needs a machine: it is not done, and it is on no machine or on an
+  // unlisted one.
   bool is_task_pending(const model::TaskState& task) const {
     return !task.done && (task.machine.empty() || is_machine_unlisted(task.machine));
   }
@@ -82,12 +85,14 @@
   // Returns the number of the job's tasks on listed machines, by zone.
   std::map<std::string, uint32_t> tasks_by_zone(const model::Job& job) const;
 
-  // See ImageNumbers.
+  // Returns the image's number, as ImageNumbers::number_of().
   int image_number(const std::string& image) { return images_.number_of(image); }
+  // Returns the name of the image with this number.
   const std::string& image_name(int number) const { return images_.name_of(number); }
 
-  // Return how many tasks or machines are stored in one value of the store.
+  // Returns how many tasks of a new job are stored in one value of the store.
   uint32_t tasks_per_shard() const { return tasks_per_shard_; }
+  // Returns how many machines of a partition's list are stored in one value of the store.
   uint32_t machines_per_page() const { return machines_per_page_; }
 
   // ---- records; read-only for users of the class ----------------------------------------------
@@ -108,7 +113,7 @@
   std::set<std::string> pending_jobs;   // open jobs with tasks that need a machine
   std::set<std::string> finished_jobs;  // open jobs whose tasks are all done
 
-  ReplicaChanges changes;
+  ReplicaChanges changes;  // applied, but not processed by all consumers yet
 
   // ---- synchronization state; set by ReplicaSync ----------------------------------------------
 
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -9,13 +9,13 @@
 namespace rooksill::store {
 
 namespace {
-constexpr double kWatchRequestRatio =
-    0.2;  // fraction of this controller's request limit used for watches
+// Fraction of this controller's request limit that is used for watches.
+constexpr double kWatchRequestRatio = 0.2;
 constexpr double kRetryIntervalS = 0.3;  // after a failed request
 constexpr double kListTimeoutS = 2;
 // Watches are short: if the response to a watch is lost, this controller receives no changes until
 // the watch times out.
-constexpr double kWatchHeartbeats = 0.33;  // duration of a watch, in worker heartbeat intervals
+constexpr double kWatchHeartbeats = 0.33;  // duration of a watch, in heartbeat intervals
 constexpr double kWatchGraceS = 0.6;       // added to the duration for the timeout
 
 constexpr int kOk = 200;
@@ -25,17 +25,17 @@
 // Returns the time between two watches, in seconds. Each watch is a request that counts towards the
 // rate limit, and a store with frequent changes answers each at once.
 double ReplicaSync::watch_interval_s() const {
-  const auto& p = context_.settings.platform;
-  return p.controllers / (kWatchRequestRatio * p.state_rps);
+  const auto& platform = context_.settings.platform;
+  return platform.controllers / (kWatchRequestRatio * platform.state_rps);
 }
 
 template <typename T>
 std::optional<T> ReplicaSync::decode_response(const runtime::CallDone& response,
                                               wire::Decoded<T> (*decode)(const std::string&)) {
   if (response.status != kOk) return std::nullopt;
-  auto answer = decode(response.body);
-  if (answer) return std::move(*answer);
-  context_.debug("state", "{}", answer.error().describe());
+  auto body = decode(response.body);
+  if (body) return std::move(*body);
+  context_.debug("state", "{}", body.error().describe());
   return std::nullopt;
 }
 
@@ -108,19 +108,19 @@
     next_request_at_ = context_.now.steady;
     return;
   }
-  const auto answer = decode_response(response, wire::decode_watch);
-  if (!answer) {
+  const auto watched = decode_response(response, wire::decode_watch);
+  if (!watched) {
     next_request_at_ = context_.now.steady + kRetryIntervalS;
     return;
   }
-  for (const auto& change : answer->changes) {
+  for (const auto& change : watched->changes) {
     const wire::StoreItem& item = change.item;
     if (change.kind == wire::StoreChange::Kind::kPut)
       replica_.apply(item.key, item.value, item.revision);
     else
       replica_.remove(item.key, item.revision);
   }
-  revision_ = std::max(revision_, answer->revision);
+  revision_ = std::max(revision_, watched->revision);
   replica_.synced_revision = std::max(replica_.synced_revision, revision_);
   replica_.synced_at = watch_sent_at_;
   next_request_at_ = context_.now.steady + watch_interval_s();
