--- a/src/rooksill/agent/command_sender.cc
+++ b/src/rooksill/agent/command_sender.cc
@@ -61,7 +61,7 @@
 
 bool CommandSender::may_send(const Worker& worker) const {
   return !worker.address.empty() && context_.now.steady >= worker.next_command_at &&
-         in_flight_ < runtime::kCommandSockets * context_.settings.platform.max_sockets;
+         in_flight_ < runtime::kCommandSocketRatio * context_.settings.platform.max_sockets;
 }
 
 // After a pause, or long without the store, the job may be cancelled and the task elsewhere, for
@@ -103,7 +103,7 @@
   if (answered && heartbeat && heartbeat->machine == sent.machine)
     on_acknowledged(*worker, done.status, *heartbeat);
   else
-    on_not_acknowledged(*worker, sent, done.refused);
+    on_not_acknowledged(*worker, sent, done.connection_refused);
 }
 
 void CommandSender::on_acknowledged(Worker& worker, int status,
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -105,7 +105,7 @@
   if (worker.probe.in_flight || worker.address.empty()) return;
   if (context_.now.steady < worker.probe.next_at) return;
   // Hundreds may be late at once, after a cut or a pause: they are probed in turn.
-  if (probes_in_flight_ >= runtime::kProbeSockets * context_.settings.platform.max_sockets) return;
+  if (probes_in_flight_ >= runtime::kProbeSocketRatio * context_.settings.platform.max_sockets) return;
   send_probe(worker);
 }
 
--- a/src/rooksill/agent/renewal_permit.cc
+++ b/src/rooksill/agent/renewal_permit.cc
@@ -9,7 +9,7 @@
 
 bool RenewalPermit::granted() const {
   const auto& platform = context_.settings.platform;
-  const double known_for = context_.now.steady - cancellations_.known_at();
+  const double known_for = context_.now.steady - cancellations_.complete_until();
   return known_for < kUsablePart * (platform.cancel_s - platform.lease_s);
 }
 
--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -11,37 +11,37 @@
 constexpr int kMaxConflicts = 3;
 }  // namespace
 
-void JobCanceller::attempt(uint64_t request, const std::string& id, int conflicts) {
+void JobCanceller::try_cancel(uint64_t request, const std::string& id, int conflicts) {
   const model::Job* job = replica_.job(id);
   if (job == nullptr)
     return lookup_.read(request, id,
-                        [this, request, id, conflicts] { attempt(request, id, conflicts); });
+                        [this, request, id, conflicts] { try_cancel(request, id, conflicts); });
   if (job->over()) return responder_.reply_status(request, id);
   if (conflicts > kMaxConflicts) return responder_.reply_retry(request);
   const bool sent =
       committer_.commit({{wire::job_key(id), job->revision}}, {cancelled_record(*job)},
                         [this, request, id, conflicts](const store::TransactionResult& result) {
-                          finish(request, id, conflicts, result.outcome);
+                          handle_result(request, id, conflicts, result.outcome);
                         });
   if (!sent) responder_.reply_retry(request);
 }
 
 store::Write JobCanceller::cancelled_record(const model::Job& job) const {
-  model::Job ended;
-  ended.spec = job.spec;
-  ended.submitted = job.submitted;
-  ended.tasks_per_shard = job.tasks_per_shard;
-  ended.end = model::JobEnd::kCancelled;
-  auto record = wire::encode_job(ended);
+  model::Job cancelled_job;
+  cancelled_job.spec = job.spec;
+  cancelled_job.submitted = job.submitted;
+  cancelled_job.tasks_per_shard = job.tasks_per_shard;
+  cancelled_job.end = model::JobEnd::kCancelled;
+  auto record = wire::encode_job(cancelled_job);
   // A record from before the store lowered its limits; its types are of no more use.
   if (record.dump().size() > context_.settings.platform.state_value_bytes) {
-    ended.spec.types.clear();
-    record = wire::encode_job(ended);
+    cancelled_job.spec.types.clear();
+    record = wire::encode_job(cancelled_job);
   }
   return {wire::job_key(job.spec.id), std::move(record), 0};
 }
 
-void JobCanceller::finish(uint64_t request, const std::string& id, int conflicts,
+void JobCanceller::handle_result(uint64_t request, const std::string& id, int conflicts,
                           store::TransactionOutcome outcome) {
   switch (outcome) {
     case store::TransactionOutcome::kApplied:
@@ -49,7 +49,7 @@
       return responder_.reply_status(request, id);
     case store::TransactionOutcome::kConflict:
       return lookup_.read(request, id,
-                          [this, request, id, conflicts] { attempt(request, id, conflicts + 1); });
+                          [this, request, id, conflicts] { try_cancel(request, id, conflicts + 1); });
     case store::TransactionOutcome::kUnknown:
       return lookup_.read(request, id, [this, request, id] {
         if (replica_.job(id)->over())
--- a/src/rooksill/api/job_canceller.h
+++ b/src/rooksill/api/job_canceller.h
@@ -25,13 +25,13 @@
         responder_(responder),
         lookup_(lookup) {}
 
-  void cancel(uint64_t request, const std::string& id) { attempt(request, id, 0); }
+  void cancel(uint64_t request, const std::string& id) { try_cancel(request, id, 0); }
 
  private:
   // `conflicts`: how often the job's record had changed under this request.
-  void attempt(uint64_t request, const std::string& id, int conflicts);
+  void try_cancel(uint64_t request, const std::string& id, int conflicts);
   store::Write cancelled_record(const model::Job& job) const;
-  void finish(uint64_t request, const std::string& id, int conflicts,
+  void handle_result(uint64_t request, const std::string& id, int conflicts,
               store::TransactionOutcome outcome);
 
   runtime::Context& context_;
--- a/src/rooksill/api/job_lookup.cc
+++ b/src/rooksill/api/job_lookup.cc
@@ -8,29 +8,29 @@
 namespace rooksill::api {
 
 namespace {
-constexpr size_t kMaxReads = 64;
+constexpr size_t kMaxPendingReads = 64;
 }  // namespace
 
-void JobLookup::read(uint64_t request, const std::string& id, Handler found) {
-  read(request, id, std::move(found),
+void JobLookup::read(uint64_t request, const std::string& id, Handler on_found) {
+  read(request, id, std::move(on_found),
        [this, request] { responder_.reply_error(request, 404, "no such job"); });
 }
 
-void JobLookup::read(uint64_t request, const std::string& id, Handler found, Handler absent) {
-  if (reads_under_way_ >= kMaxReads) return responder_.reply_retry(request);
+void JobLookup::read(uint64_t request, const std::string& id, Handler on_found, Handler on_absent) {
+  if (pending_reads_ >= kMaxPendingReads) return responder_.reply_retry(request);
   const std::string key = wire::job_key(id);
   const bool sent =
-      client_.read(key, [this, request, id, key, found = std::move(found),
-                         absent = std::move(absent)](const store::ReadResult& result) {
-        --reads_under_way_;
+      client_.read(key, [this, request, id, key, on_found = std::move(on_found),
+                         on_absent = std::move(on_absent)](const store::ReadResult& result) {
+        --pending_reads_;
         if (result.status == store::ReadStatus::kUnanswered) return responder_.reply_retry(request);
         if (result.status == store::ReadStatus::kFound)
           replica_.apply(key, result.value, result.revision);
-        if (replica_.job(id) != nullptr) return found();
-        absent();
+        if (replica_.job(id) != nullptr) return on_found();
+        on_absent();
       });
   if (!sent) return responder_.reply_retry(request);
-  ++reads_under_way_;
+  ++pending_reads_;
 }
 
 }  // namespace rooksill::api
--- a/src/rooksill/api/job_lookup.h
+++ b/src/rooksill/api/job_lookup.h
@@ -22,15 +22,15 @@
       : replica_(replica), client_(client), responder_(responder) {}
 
   // Runs `found` once the job is in the replica; replies 404 if the store has no such job.
-  void read(uint64_t request, const std::string& id, Handler found);
+  void read(uint64_t request, const std::string& id, Handler on_found);
   // Runs `absent` if the store has no such job.
-  void read(uint64_t request, const std::string& id, Handler found, Handler absent);
+  void read(uint64_t request, const std::string& id, Handler on_found, Handler on_absent);
 
  private:
   store::Replica& replica_;
   store::Client& client_;
   Responder& responder_;
-  size_t reads_under_way_ = 0;
+  size_t pending_reads_ = 0;
 };
 
 }  // namespace rooksill::api
--- a/src/rooksill/api/job_validator.cc
+++ b/src/rooksill/api/job_validator.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool runs_gangs(const PlatformSettings& platform) {
+bool supports_gangs(const PlatformSettings& platform) {
   return platform.gang_wait_s > 0 && platform.gang_peer_s > 0;
 }
 
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-std::optional<std::string> reason_to_reject(const model::JobSpec& spec,
+std::optional<std::string> rejection_reason(const model::JobSpec& spec,
                                             const PlatformSettings& platform,
                                             const store::Replica& replica) {
   const auto quota = platform.teams.find(spec.team);
   if (quota == platform.teams.end()) return "unknown team";
   if (spec.shape == model::Shape::kGang) {
-    if (!runs_gangs(platform)) return "workers here run no gangs";
+    if (!supports_gangs(platform)) return "workers here run no gangs";
     // All tasks of an attempt are placed with one change of one value.
     if (spec.tasks > replica.tasks_per_shard()) return "more tasks than can be started at once";
   }
--- a/src/rooksill/api/job_validator.h
+++ b/src/rooksill/api/job_validator.h
@@ -12,7 +12,7 @@
 
 // The reason why the job could never run, in words for its user; nothing if it can. The replica has
 // to know the machine types.
-std::optional<std::string> reason_to_reject(const model::JobSpec& spec,
+std::optional<std::string> rejection_reason(const model::JobSpec& spec,
                                             const PlatformSettings& platform,
                                             const store::Replica& replica);
 
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -9,10 +9,10 @@
 namespace rooksill::api {
 
 namespace {
-constexpr double kRequestShare = 0.15;  // of this controller's requests to the store
+constexpr double kStoreRequestRatio = 0.15;  // of this controller's requests to the store
 // Polls in one check, and polls queued, per operation that the store allows in a transaction.
-constexpr size_t kPollsPerTxnOp = 4;
-constexpr size_t kQueuedPollsPerTxnOp = 16;
+constexpr size_t kMaxPollsPerTransactionOp = 4;
+constexpr size_t kMaxQueuedPollsPerTransactionOp = 16;
 }  // namespace
 
 PollQueue::PollQueue(runtime::Context& context, const store::Replica& replica,
@@ -22,14 +22,14 @@
       client_(client),
       responder_(responder),
       lookup_(lookup),
-      pacer_(context.settings.platform, kRequestShare) {}
+      pacer_(context.settings.platform, kStoreRequestRatio) {}
 
 void PollQueue::poll(uint64_t request, const std::string& id) {
   const model::Job* job = replica_.job(id);
   if (job == nullptr)
     return lookup_.read(request, id, [this, request, id] { responder_.reply_status(request, id); });
   if (job->over()) return responder_.reply_status(request, id);  // ends are final
-  if (polls_.size() >= context_.settings.platform.state_txn_ops * kQueuedPollsPerTxnOp)
+  if (polls_.size() >= context_.settings.platform.state_txn_ops * kMaxQueuedPollsPerTransactionOp)
     return responder_.reply_retry(request);
   polls_.push_back({request, id, context_.now.steady});
 }
@@ -39,15 +39,15 @@
   const double now = context_.now.steady;
   if (polls_.empty() || !pacer_.may_send(now)) return;
   const size_t count =
-      std::min(polls_.size(), context_.settings.platform.state_txn_ops * kPollsPerTxnOp);
+      std::min(polls_.size(), context_.settings.platform.state_txn_ops * kMaxPollsPerTransactionOp);
   const std::vector<Poll> group(polls_.begin(), polls_.begin() + static_cast<long>(count));
-  const bool sent = client_.transact(known_revisions(group), {},
+  const bool sent = client_.transact(revision_preconditions(group), {},
                                      [this, group](const store::TransactionResult& result) {
-                                       pacer_.finished();
-                                       finish(group, result);
+                                       pacer_.record_finished();
+                                       handle_result(group, result);
                                      });
   if (!sent) return;
-  pacer_.sent(now);
+  pacer_.record_sent(now);
   polls_.erase(polls_.begin(), polls_.begin() + static_cast<long>(count));
 }
 
@@ -58,7 +58,7 @@
   }
 }
 
-std::vector<store::Precondition> PollQueue::known_revisions(const std::vector<Poll>& group) const {
+std::vector<store::Precondition> PollQueue::revision_preconditions(const std::vector<Poll>& group) const {
   std::vector<store::Precondition> preconditions;
   std::set<std::string> ids;
   for (const Poll& poll : group)
@@ -67,7 +67,7 @@
   return preconditions;
 }
 
-void PollQueue::finish(const std::vector<Poll>& group, const store::TransactionResult& result) {
+void PollQueue::handle_result(const std::vector<Poll>& group, const store::TransactionResult& result) {
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied:
       return reply_group(group, {});
--- a/src/rooksill/api/poll_queue.h
+++ b/src/rooksill/api/poll_queue.h
@@ -38,8 +38,8 @@
   };
 
   void drop_expired();
-  std::vector<store::Precondition> known_revisions(const std::vector<Poll>& group) const;
-  void finish(const std::vector<Poll>& group, const store::TransactionResult& result);
+  std::vector<store::Precondition> revision_preconditions(const std::vector<Poll>& group) const;
+  void handle_result(const std::vector<Poll>& group, const store::TransactionResult& result);
   void reply_group(const std::vector<Poll>& group, const std::set<std::string>& changed_keys);
 
   runtime::Context& context_;
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr double kRequestShare = 0.2;    // of this controller's requests to the store
-constexpr double kMaxQueuedSeconds = 2;  // of the store's writes: no longer queue is kept
+constexpr double kStoreRequestRatio = 0.2;    // of this controller's requests to the store
+constexpr double kMaxQueueLengthS = 2;  // of the store's writes: no longer queue is kept
 constexpr size_t kMaxTransactionBytes = size_t{48} * 1024;
-constexpr size_t kBytesAroundValue = 200;  // of a transaction, for each value: key, guard and so on
+constexpr size_t kPerValueOverheadBytes = 200;  // of a transaction, for each value: key, guard and so on
 
 // A tenth of the value is left for what the record gains later, such as the job's end.
-bool fits_value(const model::Job& job, const PlatformSettings& platform) {
+bool fits_store_value(const model::Job& job, const PlatformSettings& platform) {
   return wire::encode_job(job).dump().size() <= platform.state_value_bytes * 9 / 10;
 }
 
@@ -37,7 +37,7 @@
       responder_(responder),
       lookup_(lookup),
       polls_(polls),
-      pacer_(context.settings.platform, kRequestShare) {}
+      pacer_(context.settings.platform, kStoreRequestRatio) {}
 
 void SubmissionQueue::submit(const runtime::Request& request) {
   auto spec = wire::parse_job(request.body);
@@ -45,10 +45,10 @@
   // A retry of an accepted job is answered with its state, whatever else would be said of it.
   if (replica_.job(spec->id) != nullptr) return polls_.poll(request.id, spec->id);
   if (!replica_.synced || replica_.types.empty()) return responder_.reply_retry(request.id);
-  if (const auto reason = reason_to_reject(*spec, context_.settings.platform, replica_))
+  if (const auto reason = rejection_reason(*spec, context_.settings.platform, replica_))
     return reject(request.id, spec->id, *reason);
   // Controllers of the version before would start a gang's tasks one by one.
-  if (spec->shape == model::Shape::kGang && !membership::Upgrade::complete(replica_))
+  if (spec->shape == model::Shape::kGang && !membership::Upgrade::is_complete(replica_))
     return responder_.reply_retry(request.id);
   enqueue(request.id, std::move(*spec));
 }
@@ -70,9 +70,9 @@
   submission.job.submitted = context_.now.wall;
   submission.job.spec = std::move(spec);
   submission.job.tasks_per_shard = replica_.tasks_per_shard();
-  if (!fits_value(submission.job, platform))
+  if (!fits_store_value(submission.job, platform))
     return responder_.reply_error(request, 400, "builds: too long");
-  if (submissions_.size() >= static_cast<size_t>(platform.state_write_rps * kMaxQueuedSeconds))
+  if (submissions_.size() >= static_cast<size_t>(platform.state_write_rps * kMaxQueueLengthS))
     return responder_.reply_retry(request);
   submissions_.push_back(std::move(submission));
 }
@@ -86,12 +86,12 @@
   const bool sent = committer_.commit(
       group.preconditions, std::move(group.writes),
       [this, submissions = std::move(group.submissions)](const store::TransactionResult& result) {
-        pacer_.finished();
-        finish(submissions, result);
+        pacer_.record_finished();
+        handle_result(submissions, result);
       });
   if (!sent) return;
   context_.count("creations", static_cast<double>(count));
-  pacer_.sent(now);
+  pacer_.record_sent(now);
   submissions_.erase(submissions_.begin(), submissions_.begin() + static_cast<long>(count));
 }
 
@@ -115,7 +115,7 @@
     const std::string& id = submission.job.spec.id;
     if (!ids.insert(id).second) break;  // the same id twice: the second one waits
     auto value = wire::encode_job(submission.job);
-    bytes += value.dump().size() + kBytesAroundValue;
+    bytes += value.dump().size() + kPerValueOverheadBytes;
     if (bytes > kMaxTransactionBytes && i > 0) break;
     group.preconditions.push_back({wire::job_key(id), model::kNoRevision});
     group.writes.push_back({wire::job_key(id), std::move(value), 0});
@@ -124,7 +124,7 @@
   return group;
 }
 
-void SubmissionQueue::finish(const std::vector<Submission>& group,
+void SubmissionQueue::handle_result(const std::vector<Submission>& group,
                              const store::TransactionResult& result) {
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied:
--- a/src/rooksill/api/submission_queue.h
+++ b/src/rooksill/api/submission_queue.h
@@ -34,7 +34,7 @@
   void flush();
   size_t size() const { return submissions_.size(); }
   // The ids of jobs accepted since the last call.
-  std::vector<std::string> take_accepted() { return std::exchange(accepted_, {}); }
+  std::vector<std::string> consume_accepted() { return std::exchange(accepted_, {}); }
 
  private:
   struct Submission {
@@ -53,7 +53,7 @@
   void enqueue(uint64_t request, model::JobSpec spec);
   void drop_expired();
   Group next_group() const;
-  void finish(const std::vector<Submission>& group, const store::TransactionResult& result);
+  void handle_result(const std::vector<Submission>& group, const store::TransactionResult& result);
   void accept(const Submission& submission);
   void resolve_conflict(const std::vector<Submission>& group,
                         const std::vector<std::string>& failed_keys);
--- a/src/rooksill/api/transaction_pacer.h
+++ b/src/rooksill/api/transaction_pacer.h
@@ -14,23 +14,23 @@
 class TransactionPacer {
  public:
   // `share`: the part of this controller's requests to the store.
-  TransactionPacer(const PlatformSettings& platform, double share)
-      : interval_s_(platform.controllers / (share * platform.state_rps)) {}
+  TransactionPacer(const PlatformSettings& platform, double request_ratio)
+      : interval_s_(platform.controllers / (request_ratio * platform.state_rps)) {}
 
   // Times are steady seconds.
-  bool may_send(double now) const { return under_way_ < kMaxUnderWay && timer_.expired(now); }
-  void sent(double now) {
+  bool may_send(double now) const { return pending_transactions_ < kMaxPendingTransactions && timer_.expired(now); }
+  void record_sent(double now) {
     timer_.restart(now, interval_s_);
-    ++under_way_;
+    ++pending_transactions_;
   }
-  void finished() { --under_way_; }
+  void record_finished() { --pending_transactions_; }
 
  private:
-  static constexpr int kMaxUnderWay = 2;
+  static constexpr int kMaxPendingTransactions = 2;
 
   double interval_s_;
   runtime::IntervalTimer timer_;
-  int under_way_ = 0;
+  int pending_transactions_ = 0;
 };
 
 }  // namespace rooksill::api
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -16,7 +16,7 @@
 
 // Part of a second's writes that is reserved for queued submissions, which come last and would
 // otherwise never be sent.
-constexpr double kReservedWrites = 0.3;
+constexpr double kReservedWriteRatio = 0.3;
 }  // namespace
 
 UserRequests::UserRequests(runtime::Context& context, store::Replica& replica,
@@ -43,16 +43,16 @@
 
 // `path` is what follows the prefix: ID or ID/cancel.
 void UserRequests::handle_job(const runtime::Request& request, std::string path) {
-  const bool cancelling = path.size() > kCancelSuffix.size() && path.ends_with(kCancelSuffix);
-  if (cancelling) path.resize(path.size() - kCancelSuffix.size());
+  const bool is_cancellation = path.size() > kCancelSuffix.size() && path.ends_with(kCancelSuffix);
+  if (is_cancellation) path.resize(path.size() - kCancelSuffix.size());
   const std::string& id = path;
-  const std::string allowed_method = cancelling ? "POST" : "GET";
+  const std::string allowed_method = is_cancellation ? "POST" : "GET";
   if (id.find('/') != std::string::npos)
     return responder_.reply_error(request.id, 404, "no such path");
   if (request.method != allowed_method)
     return responder_.reply_error(request.id, 405, "use " + allowed_method);
   if (!wire::valid_job_id(id)) return responder_.reply_error(request.id, 404, "no such job");
-  if (cancelling)
+  if (is_cancellation)
     canceller_.cancel(request.id, id);
   else
     polls_.poll(request.id, id);
@@ -61,7 +61,7 @@
 void UserRequests::flush() {
   submissions_.flush();
   const PlatformSettings& platform = context_.settings.platform;
-  const double max_reserved = kReservedWrites * platform.state_write_rps / platform.controllers;
+  const double max_reserved = kReservedWriteRatio * platform.state_write_rps / platform.controllers;
   client_.reserve_writes(std::min(static_cast<double>(submissions_.size()), max_reserved));
   polls_.flush();
 }
--- a/src/rooksill/api/user_requests.h
+++ b/src/rooksill/api/user_requests.h
@@ -30,10 +30,10 @@
   // store's rate limit.
   void flush();
 
-  size_t submissions() const { return submissions_.size(); }
-  size_t polls() const { return polls_.size(); }
+  size_t queued_submission_count() const { return submissions_.size(); }
+  size_t queued_poll_count() const { return polls_.size(); }
   // The ids of jobs accepted since the last call.
-  std::vector<std::string> take_accepted() { return submissions_.take_accepted(); }
+  std::vector<std::string> consume_accepted() { return submissions_.consume_accepted(); }
 
  private:
   void handle_collection(const runtime::Request& request);
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -39,7 +39,7 @@
 store::CallFn call_store_through(runtime::Context& context) {
   return [&context](std::string method, std::string path, std::string body, double timeout_s,
                     runtime::CallHandler handler) {
-    context.call(runtime::Target::kState, context.settings.platform.state_address,
+    context.call(runtime::Target::kStore, context.settings.platform.state_address,
                  std::move(method), std::move(path), std::move(body), timeout_s,
                  std::move(handler));
   };
@@ -109,7 +109,7 @@
   const bool first_batch = previous <= 0;
   if (first_batch || pause_s < kPauseReports * context_.settings.platform.report_s) return;
   context_.resumed_at = now.steady;
-  peers_.discount_pause(pause_s);
+  peers_.extend_timeouts(pause_s);
   context_.info("core", "process was paused for {:.1f} s: no starts until the store has answered",
                 pause_s);
 }
@@ -128,7 +128,7 @@
         handle_request(*request);
     } else if (const auto* message = std::get_if<runtime::PeerMessage>(&command)) {
       handle_peer_message(*message);
-    } else if (const auto* lost = std::get_if<runtime::PeerLost>(&command)) {
+    } else if (const auto* lost = std::get_if<runtime::PeerDisconnected>(&command)) {
       handle_peer_lost(*lost);
     }
   }
@@ -151,13 +151,13 @@
   cancellations_.collect();
   cancellations_.send_updates();
   load_log_.tick();
-  client_.tick(now, peers_.live_controllers());
+  client_.tick(now, peers_.live_controller_count());
   peers_.read_liveness_records(replica_);
   heartbeat_sender_.write_liveness_record();
   replica_sync_.tick();
   committer_.tick();
   upgrade_.tick(leader_.leading());
-  if (membership::Upgrade::complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
+  if (membership::Upgrade::is_complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
   owner_.tick();
   if (timeout_check_timer_.fire(now, kTick * kTimeoutCheckTicks)) owner_.check_timeouts();
   if (heartbeat_timer_.fire(now, context_.settings.platform.report_s / kHeartbeatsPerReport)) {
@@ -183,7 +183,7 @@
 
 // Without a leader to route them, new jobs go to the partitions of the controller that took them.
 void Controller::route_accepted_jobs() {
-  const std::vector<std::string> accepted = user_requests_.take_accepted();
+  const std::vector<std::string> accepted = user_requests_.consume_accepted();
   if (!leader_.absent()) return;
   owner_.route_without_leader();
   for (const std::string& id : accepted) {
@@ -243,15 +243,15 @@
   const double answered_since = client_.failing_since() + kRefusedReports * platform.report_s;
   return std::any_of(platform.peers.begin(), platform.peers.end(), [&](const PeerAddress& address) {
     const membership::Peer* peer = peers_.find(address.label);
-    return peer != nullptr && peers_.alive(address.label) && peer->heartbeat.ready &&
-           peer->last_heard - peer->heartbeat.store_age > answered_since;
+    return peer != nullptr && peers_.is_alive(address.label) && peer->heartbeat.ready &&
+           peer->last_received_at - peer->heartbeat.store_age > answered_since;
   });
 }
 
 // ---- Messages of other controllers --------------------------------------------------------------
 
-void Controller::handle_peer_lost(const runtime::PeerLost& lost) {
-  peers_.connection_lost(lost.label);
+void Controller::handle_peer_lost(const runtime::PeerDisconnected& lost) {
+  peers_.handle_connection_loss(lost.label);
   status_publisher_.connection_lost(lost.label);
 }
 
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -55,7 +55,7 @@
   void handle_commands(const std::vector<runtime::Command>& batch);
   void handle_request(const runtime::Request& request);
   void reply_readiness(const runtime::Request& request);
-  void handle_peer_lost(const runtime::PeerLost& lost);
+  void handle_peer_lost(const runtime::PeerDisconnected& lost);
   void handle_peer_message(const runtime::PeerMessage& message);
   // Unpacks the envelope's payload and passes it on with the sender's label; drops malformed ones.
   template <typename Message>
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -50,7 +50,7 @@
                                       [](const store::TransactionResult&) {});
   if (!sent) return;
   context_.count("liveness_records");
-  liveness_timer_.restart(now, peers_.liveness_interval());
+  liveness_timer_.restart(now, peers_.liveness_record_interval_s());
 }
 
 }  // namespace rooksill::controller
--- a/src/rooksill/controller/load_log.cc
+++ b/src/rooksill/controller/load_log.cc
@@ -17,12 +17,12 @@
 
 void LoadLog::write(double period_s) {
   std::string rates;
-  for (const auto& [name, value] : context_.take_counters())
+  for (const auto& [name, value] : context_.consume_counters())
     rates += fmt::format(" {} {:.1f}", name, value / period_s);
   context_.info("load",
                 "per second:{}; queued: {} changes, {} submissions, {} polls; {} jobs with "
                 "unplaced tasks; {}",
-                rates, owner_.queued(), user_requests_.submissions(), user_requests_.polls(),
+                rates, owner_.queued(), user_requests_.queued_submission_count(), user_requests_.queued_poll_count(),
                 replica_.waiting_jobs.size(), owner_.summary());
 }
 
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -56,10 +56,10 @@
       : loop_(ev_loop_new(EVFLAG_AUTO)),
         controller_(settings, seed(settings), read_clocks().wall,
                     spdlog::get_level() <= spdlog::level::debug),
-        client_(loop_.get(), sockets(settings, runtime::kOutgoingSockets),
+        client_(loop_.get(), sockets(settings, runtime::kOutgoingSocketRatio),
                 [this](runtime::CallDone done) { push(std::move(done)); }),
         server_(loop_.get(), settings.platform.api_address,
-                sockets(settings, runtime::kIncomingSockets),
+                sockets(settings, runtime::kIncomingSocketRatio),
                 [this](uint64_t id, net::HttpMessage message) {
                   push(runtime::Request{id, std::move(message.method), std::move(message.target),
                                         std::move(message.body)});
@@ -67,7 +67,7 @@
         peers_(
             loop_.get(), settings.platform,
             [this](std::string bytes) { push(runtime::PeerMessage{std::move(bytes)}); },
-            [this](std::string label) { push(runtime::PeerLost{std::move(label)}); }),
+            [this](std::string label) { push(runtime::PeerDisconnected{std::move(label)}); }),
         tick_(loop_.get(), 0, Controller::kTick, [this] { push(runtime::Tick{}); }) {
     ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* w, int) {
       static_cast<Process*>(w->data)->drain();
@@ -111,7 +111,7 @@
     for (const runtime::LogLine& line : effects.log)
       spdlog::log(log_level(line.level), "{}: {}", line.component, line.text);
     // The other controllers first: they are to know of a cancellation before its user does.
-    for (const runtime::PeerSend& message : effects.peer) peers_.send(message.label, message.bytes);
+    for (const runtime::PeerSend& message : effects.peer_messages) peers_.send(message.label, message.bytes);
     for (const runtime::Reply& reply : effects.replies)
       server_.reply(reply.request, reply.status, reply.body, reply.retry_after_s);
     for (const runtime::Call& call : effects.calls) client_.call(call);
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -109,7 +109,7 @@
   for (const auto& name : removed_)
     if (const model::Machine* machine = replica_.machine(name))
       changed.insert({machine->partition, machine->page});
-  if (!membership::Upgrade::complete(replica_)) return changed;
+  if (!membership::Upgrade::is_complete(replica_)) return changed;
   // Pages from before a lowered limit are split as soon as every controller knows of splits: the
   // store will refuse any further change of them once the limit holds.
   for (size_t partition = 0; partition < replica_.pages.size(); ++partition) {
@@ -156,7 +156,7 @@
       {wire::kLeaderKey, replica_.leader.revision},
       {key, exists ? pages[static_cast<size_t>(id.page)].revision : model::kNoRevision}};
   // The new pages come first: whoever applies the changes in order misses no machine in between.
-  if (membership::Upgrade::complete(replica_)) split_page(machines, transaction);
+  if (membership::Upgrade::is_complete(replica_)) split_page(machines, transaction);
   transaction.writes.push_back({key, wire::encode_machines(machines), 0});
   return transaction;
 }
--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -50,7 +50,7 @@
 }
 
 bool Election::leader_absent() const {
-  return !leading() && !peers_.leader_heard_within(peers_.silence() / 2);
+  return !leading() && !peers_.has_leader_message_within(peers_.unreachable_timeout_s() / 2);
 }
 
 void Election::tick() {
@@ -65,9 +65,9 @@
 void Election::keep_leading() {
   const double now = context_.now.steady;
   if (now >= valid_until_ || !leader_key_is_ours()) return resign("lease ended");
-  if (peers_.last_heard_any() > term_started_) heard_peer_ = true;
+  if (peers_.last_contact_at() > term_started_) heard_peer_ = true;
   // A leader that hears nobody may be cut off while its lease lasts; the others cannot know.
-  if (heard_peer_ && now - peers_.last_heard_any() > kIsolatedSilences * peers_.silence()) {
+  if (heard_peer_ && now - peers_.last_contact_at() > kIsolatedSilences * peers_.unreachable_timeout_s()) {
     heard_peer_ = false;
     return resign("no other controller is heard");
   }
@@ -93,7 +93,7 @@
   }
   // A controller that hears no other one gives those that hear each other time to elect a leader.
   const bool isolated =
-      !peers_.labels().empty() && now - peers_.last_heard_any() > peers_.silence();
+      !peers_.labels().empty() && now - peers_.last_contact_at() > peers_.unreachable_timeout_s();
   if (isolated && now - vacant_since_ < ttl) return;
   if (state_ == State::kFollower && now >= next_campaign_) campaign();
 }
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -34,7 +34,7 @@
   for (size_t partition = 0; partition < replica_.leases.size(); ++partition) {
     const std::string& owner = replica_.leases[partition].owner;
     const bool is_self = owner == context_.settings.platform.label;
-    if (is_self || peers_.heard(owner) || !peers_.alive(owner)) continue;
+    if (is_self || peers_.is_reachable(owner) || !peers_.is_alive(owner)) continue;
     const auto record = replica_.liveness_records.find(owner);
     const std::vector<std::string>& silent =
         record == replica_.liveness_records.end() ? kNoneSilent : record->second.silent;
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -67,7 +67,7 @@
   // Where every controller sees silence it is the machines that are silent.
   if (candidates.labels.empty())
     for (const auto& label : labels)
-      if (is_self(label) || peers_.alive(label)) candidates.labels.push_back(label);
+      if (is_self(label) || peers_.is_alive(label)) candidates.labels.push_back(label);
   for (const auto& label : candidates.labels) candidates.owned[label] = 0;
   for (const auto& partition_lease : replica_.leases) ++candidates.owned[partition_lease.owner];
   return candidates;
@@ -87,11 +87,11 @@
 // Empty if the controller may own partitions.
 std::string PartitionAssigner::reason_against(const std::string& label) const {
   if (is_self(label)) return owner_.suspects_itself() ? "it suspects itself" : "";
-  if (!peers_.alive(label)) return "it is not heard";
+  if (!peers_.is_alive(label)) return "it is not heard";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
   if (!heartbeat.ready) return "its replica is not loaded";
-  if (membership::Upgrade::runs_older_version(replica_, label, peer))
+  if (membership::Upgrade::is_running_older_version(replica_, label, peer))
     return "it runs an older version";
   if (!heartbeat.store_ok) return "the store does not answer it";
   if (heartbeat.suspects_itself) return "it suspects itself";
@@ -136,7 +136,7 @@
   std::string most = candidates.labels.front(), to;
   for (const auto& label : candidates.labels) {
     const membership::Peer* peer = peers_.find(label);
-    const double back_since = peer != nullptr ? peer->first_heard : election_.term_started();
+    const double back_since = peer != nullptr ? peer->reachable_since : election_.term_started();
     if (owned.at(label) > owned.at(most)) most = label;
     if (context_.now.steady - back_since > settle && (to.empty() || owned.at(label) < owned.at(to)))
       to = label;
@@ -199,7 +199,7 @@
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const std::string& owner = replica_.leases[i].owner;
     const int partition = static_cast<int>(i);
-    const bool doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
+    const bool doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.is_alive(owner));
     auto taken = taken_from_suspect_.find(partition);
     const bool second_opinion =
         taken != taken_from_suspect_.end() && context_.now.steady - taken->second < believed_s;
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -46,7 +46,7 @@
 std::vector<wire::QuotaUse> Router::reported_quota_use() const {
   std::vector<wire::QuotaUse> use = owner_.quota_use();
   for (const auto& label : peers_.labels()) {
-    if (!peers_.heard(label)) continue;
+    if (!peers_.is_reachable(label)) continue;
     for (const auto& reported : peers_.find(label)->heartbeat.quota_use)
       if (is_owned_by(reported.partition, label)) use.push_back(reported);
   }
@@ -90,7 +90,7 @@
 bool Router::some_owner_does_not_hear_us() const {
   return std::any_of(replica_.leases.begin(), replica_.leases.end(), [&](const auto& lease) {
     return !lease.owner.empty() && lease.owner != context_.settings.platform.label &&
-           !peers_.heard(lease.owner);
+           !peers_.is_reachable(lease.owner);
   });
 }
 
@@ -165,7 +165,7 @@
   std::vector<bool> reachable;
   for (const auto& lease : replica_.leases)
     reachable.push_back(lease.owner == context_.settings.platform.label ||
-                        peers_.heard(lease.owner));
+                        peers_.is_reachable(lease.owner));
   return reachable;
 }
 
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -13,12 +13,12 @@
 // Cancellations kept for peers that have not confirmed them, whatever the number of machines or
 // jobs. A peer that lacks more than these confirms them once it has asked the store, and its word
 // does not count before: this bound costs time in an outage, never a cancellation.
-constexpr size_t kMaxKept = 4096;
-constexpr size_t kMaxPerMessage = 500;
-constexpr size_t kMaxSamples = 32;
-constexpr double kResendReports = 0.3;  // report periods until what is not confirmed is sent again
+constexpr size_t kMaxKeptCancellations = 4096;
+constexpr size_t kMaxCancellationsPerMessage = 500;
+constexpr size_t kMaxCountSamples = 32;
+constexpr double kResendIntervalHeartbeats = 0.3;  // report periods until what is not confirmed is sent again
 // Heartbeats of an older form carry a far earlier time.
-constexpr double kEarliestSentAt = -1;
+constexpr double kMinSentAtS = -1;
 }  // namespace
 
 Cancellations::PeerProgress& Cancellations::progress_of(const std::string& label) {
@@ -32,40 +32,40 @@
 }
 
 void Cancellations::collect() {
-  auto learned = std::exchange(replica_.changes.cancelled, {});
+  auto new_jobs = std::exchange(replica_.changes.cancelled, {});
   // What the first listing brings was there before any peer hears that this process knows the
   // store; a peer that counts on our word has asked the store since.
   if (!std::exchange(was_synced_, replica_.synced)) return;
-  for (auto& job : learned) learned_.push_back(std::move(job));
-  uint64_t needed = first_ + learned_.size();
+  for (auto& job : new_jobs) kept_jobs_.push_back(std::move(job));
+  uint64_t first_needed = first_kept_ + kept_jobs_.size();
   for (const auto& label : peers_.labels())
-    needed = std::min(needed, progress_of(label).confirmed + 1);
-  while (!learned_.empty() && (first_ < needed || learned_.size() > kMaxKept)) {
-    learned_.pop_front();
-    ++first_;
+    first_needed = std::min(first_needed, progress_of(label).acknowledged_up_to + 1);
+  while (!kept_jobs_.empty() && (first_kept_ < first_needed || kept_jobs_.size() > kMaxKeptCancellations)) {
+    kept_jobs_.pop_front();
+    ++first_kept_;
   }
 }
 
 void Cancellations::send_updates() {
   for (const auto& label : peers_.labels()) {
     PeerProgress& progress = progress_of(label);
-    if (progress.confirmed >= learned_count() || !peers_.heard(label)) continue;
-    const bool resend = context_.now.steady >= progress.next_resend;
-    const uint64_t up_to =
-        resend ? progress.confirmed : std::max(progress.sent, progress.confirmed);
-    const uint64_t first = std::max(up_to + 1, first_);
+    if (progress.acknowledged_up_to >= learned_count() || !peers_.is_reachable(label)) continue;
+    const bool should_resend = context_.now.steady >= progress.next_resend_at;
+    const uint64_t skipped_up_to =
+        should_resend ? progress.acknowledged_up_to : std::max(progress.sent_up_to, progress.acknowledged_up_to);
+    const uint64_t first = std::max(skipped_up_to + 1, first_kept_);
     if (first <= learned_count()) send_from(first, label, progress);
   }
 }
 
 void Cancellations::send_from(uint64_t first, const std::string& label, PeerProgress& progress) {
-  const auto begin = learned_.begin() + static_cast<std::ptrdiff_t>(first - first_);
-  const size_t count = std::min(kMaxPerMessage, static_cast<size_t>(learned_.end() - begin));
+  const auto begin = kept_jobs_.begin() + static_cast<std::ptrdiff_t>(first - first_kept_);
+  const size_t count = std::min(kMaxCancellationsPerMessage, static_cast<size_t>(kept_jobs_.end() - begin));
   wire::Cancelled message;
   message.first = first;
   message.jobs.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
-  progress.sent = first + count - 1;
-  progress.next_resend = context_.now.steady + kResendReports * context_.settings.platform.report_s;
+  progress.sent_up_to = first + count - 1;
+  progress.next_resend_at = context_.now.steady + kResendIntervalHeartbeats * context_.settings.platform.report_s;
   peers_.send(label, wire::PeerKind::kCancelled, wire::pack(message));
 }
 
@@ -73,9 +73,9 @@
   heartbeat.sent_at = context_.now.steady;
   heartbeat.cancelled = learned_count();
   for (const auto& [label, progress] : progress_) {
-    if (progress.incarnation == 0 || progress.last_sent_at < kEarliestSentAt) continue;
+    if (progress.incarnation == 0 || progress.last_heartbeat_sent_at < kMinSentAtS) continue;
     heartbeat.heard.push_back(
-        {label, progress.incarnation, progress.received, progress.last_sent_at});
+        {label, progress.incarnation, progress.received_up_to, progress.last_heartbeat_sent_at});
   }
 }
 
@@ -85,59 +85,59 @@
   for (const auto& job : message.jobs)
     if (wire::valid_job_id(job)) replica_.record_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
-  const bool without_gap = message.first <= progress.received + 1;
-  if (!message.jobs.empty() && without_gap) progress.received = std::max(progress.received, last);
+  const bool without_gap = message.first <= progress.received_up_to + 1;
+  if (!message.jobs.empty() && without_gap) progress.received_up_to = std::max(progress.received_up_to, last);
 }
 
 void Cancellations::receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat) {
   PeerProgress& progress = progress_of(label);
-  progress.last_sent_at = std::max(progress.last_sent_at, heartbeat.sent_at);
+  progress.last_heartbeat_sent_at = std::max(progress.last_heartbeat_sent_at, heartbeat.sent_at);
   if (heartbeat.ready && !progress.ready_at) progress.ready_at = context_.now.steady;
-  record_count(heartbeat.cancelled, progress);
-  credit_what_store_covers(progress);
+  record_announced_count(heartbeat.cancelled, progress);
+  apply_store_sync(progress);
   for (const wire::CancellationAck& ack : heartbeat.heard)
     if (ack.label == context_.settings.platform.label && ack.incarnation == context_.incarnation)
-      confirm(label, ack, heartbeat.cancelled, progress);
+      process_ack(label, ack, heartbeat.cancelled, progress);
 }
 
-void Cancellations::record_count(uint64_t count, PeerProgress& progress) const {
-  if (count <= progress.announced) return;
-  progress.announced = count;
+void Cancellations::record_announced_count(uint64_t count, PeerProgress& progress) const {
+  if (count <= progress.announced_count) return;
+  progress.announced_count = count;
   const CountSample sample{context_.now.steady, count};
-  if (progress.samples.size() >= kMaxSamples)
-    progress.samples.back() = sample;
+  if (progress.count_samples.size() >= kMaxCountSamples)
+    progress.count_samples.back() = sample;
   else
-    progress.samples.push_back(sample);
+    progress.count_samples.push_back(sample);
 }
 
 // What a peer had learned when the store was asked is known from the store's answer.
-void Cancellations::credit_what_store_covers(PeerProgress& progress) const {
-  while (!progress.samples.empty() && progress.samples.front().received_at < replica_.synced_at) {
-    progress.received = std::max(progress.received, progress.samples.front().count);
-    progress.samples.pop_front();
+void Cancellations::apply_store_sync(PeerProgress& progress) const {
+  while (!progress.count_samples.empty() && progress.count_samples.front().received_at < replica_.synced_at) {
+    progress.received_up_to = std::max(progress.received_up_to, progress.count_samples.front().count);
+    progress.count_samples.pop_front();
   }
 }
 
 // A heartbeat is older than its arrival, by minutes if it was held up. It is later than the last of
 // our own that it answers to, and that one's time is known by our clock.
-void Cancellations::confirm(const std::string& label, const wire::CancellationAck& ack,
-                            uint64_t announced, PeerProgress& progress) {
-  progress.confirmed = std::max(progress.confirmed, ack.cancelled);
+void Cancellations::process_ack(const std::string& label, const wire::CancellationAck& ack,
+                            uint64_t announced_count, PeerProgress& progress) {
+  progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancelled);
   // What an earlier process of this peer confirmed to users is known only if the store was asked
   // since that process was gone.
   const bool earlier_process_covered =
       progress.ready_at && replica_.synced_at >= *progress.ready_at;
-  if (!earlier_process_covered || progress.received < announced) return;
-  double& confirmed_at = confirmed_at_.try_emplace(label, kNever).first->second;
-  confirmed_at = std::max(confirmed_at, std::min(ack.sent_at, context_.now.steady));
+  if (!earlier_process_covered || progress.received_up_to < announced_count) return;
+  double& confirmed_until = confirmed_until_.try_emplace(label, kNever).first->second;
+  confirmed_until = std::max(confirmed_until, std::min(ack.sent_at, context_.now.steady));
 }
 
-double Cancellations::known_at() const {
+double Cancellations::complete_until() const {
   double confirmed_by_all = context_.now.steady;
   for (const auto& label : peers_.labels()) {
-    auto confirmed = confirmed_at_.find(label);
+    auto confirmed = confirmed_until_.find(label);
     confirmed_by_all =
-        std::min(confirmed_by_all, confirmed == confirmed_at_.end() ? kNever : confirmed->second);
+        std::min(confirmed_by_all, confirmed == confirmed_until_.end() ? kNever : confirmed->second);
   }
   return std::max(confirmed_by_all, replica_.synced_at);
 }
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -36,7 +36,7 @@
 
   // Every cancellation that any controller confirmed to a user before this moment is in the
   // replica.
-  double known_at() const;
+  double complete_until() const;
 
  private:
   // How many cancellations a peer said it knew, and when that was received.
@@ -48,33 +48,33 @@
   struct PeerProgress {
     uint64_t incarnation = 0;
     std::optional<double> ready_at;   // when it was first heard to know the store
-    double last_sent_at = kNever;     // by its clock, of the latest of its heartbeats received
-    uint64_t announced = 0;           // how many cancellations it knew by then
-    uint64_t received = 0;            // all of its cancellations up to this number are known here
-    std::deque<CountSample> samples;  // not yet covered by an answer of the store
-    uint64_t confirmed = 0;           // up to this number it has ours
-    uint64_t sent = 0;                // up to this number ours were sent to it
-    double next_resend = kNever;
+    double last_heartbeat_sent_at = kNever;     // by its clock, of the latest of its heartbeats received
+    uint64_t announced_count = 0;           // how many cancellations it knew by then
+    uint64_t received_up_to = 0;            // all of its cancellations up to this number are known here
+    std::deque<CountSample> count_samples;  // not yet covered by an answer of the store
+    uint64_t acknowledged_up_to = 0;           // up to this number it has ours
+    uint64_t sent_up_to = 0;                // up to this number ours were sent to it
+    double next_resend_at = kNever;
   };
 
   PeerProgress& progress_of(const std::string& label);
-  uint64_t learned_count() const { return first_ - 1 + learned_.size(); }
+  uint64_t learned_count() const { return first_kept_ - 1 + kept_jobs_.size(); }
   void send_from(uint64_t first, const std::string& label, PeerProgress& progress);
-  void record_count(uint64_t count, PeerProgress& progress) const;
-  void credit_what_store_covers(PeerProgress& progress) const;
-  void confirm(const std::string& label, const wire::CancellationAck& ack, uint64_t announced,
+  void record_announced_count(uint64_t count, PeerProgress& progress) const;
+  void apply_store_sync(PeerProgress& progress) const;
+  void process_ack(const std::string& label, const wire::CancellationAck& ack, uint64_t announced_count,
                PeerProgress& progress);
 
   runtime::Context& context_;
   store::Replica& replica_;
   Peers& peers_;
-  std::deque<std::string> learned_;  // jobs; those numbered first_ and up
-  uint64_t first_ = 1;
+  std::deque<std::string> kept_jobs_;  // jobs; those numbered first_ and up
+  uint64_t first_kept_ = 1;
   bool was_synced_ = false;
   std::map<std::string, PeerProgress> progress_;  // by peer
   // By peer: everything that it confirmed to a user before this moment is known here. Stays true
   // whatever becomes of the peer.
-  std::map<std::string, double> confirmed_at_;
+  std::map<std::string, double> confirmed_until_;
 };
 
 }  // namespace rooksill::membership
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -7,32 +7,32 @@
 
 namespace {
 
-constexpr double kLivenessReports = 0.4;   // report periods between two liveness records
-constexpr double kLivenessPatience = 2.5;  // intervals for which a record counts
+constexpr double kLivenessIntervalHeartbeats = 0.4;   // report periods between two liveness records
+constexpr double kLivenessTimeoutIntervals = 2.5;  // intervals for which a record counts
 // A peer that was heard within so many lease times was heard lately.
-constexpr double kRecentLeases = 2;
+constexpr double kRecentContactLeases = 2;
 // Parts of the silence after which a peer seems lost. One alone has to be quiet for longer.
-constexpr double kFirstLostDivisor = 3;
-constexpr double kOthersLostDivisor = 5;
+constexpr double kFirstRecipientTimeoutDivisor = 3;
+constexpr double kOtherRecipientsTimeoutDivisor = 5;
 // Part of its patience that a peer keeps when its connection ends.
-constexpr double kLostConnectionDivisor = 2;
+constexpr double kLostConnectionTimeoutDivisor = 2;
 
 // Another process runs as this controller now.
-void start_process(uint64_t incarnation, Peer& peer) {
+void reset_for_new_process(uint64_t incarnation, Peer& peer) {
   peer.incarnation = incarnation;
-  peer.sequence = 0;
+  peer.last_sequence = 0;
   peer.heartbeat = {};
 }
 
-bool known_version(const wire::Envelope& envelope) {
+bool is_supported_version(const wire::Envelope& envelope) {
   return envelope.version >= model::kFirstVersion && envelope.version <= model::kPresentVersion;
 }
 
 // Incarnations grow with the time of day. Packets that were held up come late, also from an earlier
 // process.
-bool is_outdated(const wire::Envelope& envelope, const Peer& peer) {
+bool is_stale(const wire::Envelope& envelope, const Peer& peer) {
   if (envelope.incarnation != peer.incarnation) return envelope.incarnation < peer.incarnation;
-  return envelope.sequence <= peer.sequence;
+  return envelope.sequence <= peer.last_sequence;
 }
 
 }  // namespace
@@ -47,18 +47,18 @@
 
 std::optional<wire::Envelope> Peers::receive(const std::string& bytes) {
   auto unpacked = wire::unpack<wire::Envelope>(bytes);
-  if (!unpacked || !known_version(*unpacked)) return std::nullopt;
+  if (!unpacked || !is_supported_version(*unpacked)) return std::nullopt;
   wire::Envelope& envelope = *unpacked;
   auto found = peers_.find(envelope.label);
   if (found == peers_.end()) return std::nullopt;
   Peer& peer = found->second;
-  if (is_outdated(envelope, peer)) return std::nullopt;
-  const bool new_process = envelope.incarnation != peer.incarnation;
-  if (new_process) start_process(envelope.incarnation, peer);
-  if (new_process || !alive(envelope.label)) peer.first_heard = context_.now.steady;
-  peer.sequence = envelope.sequence;
-  peer.version = envelope.version;
-  peer.last_heard = context_.now.steady;
+  if (is_stale(envelope, peer)) return std::nullopt;
+  const bool is_new_process = envelope.incarnation != peer.incarnation;
+  if (is_new_process) reset_for_new_process(envelope.incarnation, peer);
+  if (is_new_process || !is_alive(envelope.label)) peer.reachable_since = context_.now.steady;
+  peer.last_sequence = envelope.sequence;
+  peer.envelope_version = envelope.version;
+  peer.last_received_at = context_.now.steady;
   return envelope;
 }
 
@@ -82,23 +82,23 @@
 }
 
 // An ended connection is a hint only: the peer gets half of its patience to be heard again.
-void Peers::connection_lost(const std::string& label) {
+void Peers::handle_connection_loss(const std::string& label) {
   auto found = peers_.find(label);
   if (found == peers_.end()) return;
   Peer& peer = found->second;
-  peer.last_heard =
-      std::min(peer.last_heard, context_.now.steady - silence() / kLostConnectionDivisor);
+  peer.last_received_at =
+      std::min(peer.last_received_at, context_.now.steady - unreachable_timeout_s() / kLostConnectionTimeoutDivisor);
 }
 
-void Peers::discount_pause(double pause_s) {
-  for (auto& [label, peer] : peers_) peer.last_heard += pause_s;
+void Peers::extend_timeouts(double pause_s) {
+  for (auto& [label, peer] : peers_) peer.last_received_at += pause_s;
 }
 
 // ---- liveness records
 // ------------------------------------------------------------------------------
 
-double Peers::liveness_interval() const {
-  return kLivenessReports * context_.settings.platform.report_s;
+double Peers::liveness_record_interval_s() const {
+  return kLivenessIntervalHeartbeats * context_.settings.platform.report_s;
 }
 
 void Peers::read_liveness_records(const store::Replica& replica) {
@@ -106,10 +106,10 @@
   for (auto& [label, peer] : peers_) {
     auto record = replica.liveness_records.find(label);
     if (record != replica.liveness_records.end() &&
-        record->second.revision > peer.liveness_revision)
+        record->second.revision > peer.liveness_record_revision)
       read_liveness_record(label, record->second, peer);
   }
-  liveness_records_read_ = true;
+  has_read_liveness_records_ = true;
 }
 
 // A peer whose connections are refused is not dead for that: its record shows that it is alive.
@@ -117,14 +117,14 @@
 // down, and its own death must not be found out the later for it.
 void Peers::read_liveness_record(const std::string& label, const model::LivenessRecord& record,
                                  Peer& peer) {
-  peer.liveness_revision = record.revision;
+  peer.liveness_record_revision = record.revision;
   // What was there when this process started may be long out of date.
-  if (!liveness_records_read_ || record.incarnation < peer.incarnation) return;
-  if (!is_meant_for_us(record)) return;
-  if (record.incarnation != peer.incarnation) start_process(record.incarnation, peer);
-  if (!alive(label)) peer.first_heard = context_.now.steady;
-  peer.liveness_seen_at = context_.now.steady;
-  if (heard(label)) return;
+  if (!has_read_liveness_records_ || record.incarnation < peer.incarnation) return;
+  if (!is_addressed_to_self(record)) return;
+  if (record.incarnation != peer.incarnation) reset_for_new_process(record.incarnation, peer);
+  if (!is_alive(label)) peer.reachable_since = context_.now.steady;
+  peer.liveness_record_seen_at = context_.now.steady;
+  if (is_reachable(label)) return;
   peer.heartbeat.ready = true;
   peer.heartbeat.store_ok = true;
   peer.heartbeat.suspects_itself = record.suspects_itself;
@@ -133,33 +133,33 @@
 
 std::vector<std::string> Peers::liveness_recipients(const store::Replica& replica) const {
   std::vector<std::string> recipients;
-  bool due = false;
+  bool is_due = false;
   for (const auto& [label, peer] : peers_) {
-    const double quiet = context_.now.steady - peer.last_heard;
-    const double unseen = std::min(quiet, context_.now.steady - peer.liveness_seen_at);
-    const bool lately = unseen < kRecentLeases * context_.settings.platform.lease_s;
-    const bool asks = asks_for_liveness_record(label, peer, replica);
-    due = due || asks || (lately && quiet > silence() / kFirstLostDivisor);
+    const double since_message_s = context_.now.steady - peer.last_received_at;
+    const double since_contact_s = std::min(since_message_s, context_.now.steady - peer.liveness_record_seen_at);
+    const bool is_recent = since_contact_s < kRecentContactLeases * context_.settings.platform.lease_s;
+    const bool is_needed = is_liveness_record_needed(label, peer, replica);
+    is_due = is_due || is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kFirstRecipientTimeoutDivisor);
     // With one lost, others that missed a heartbeat are likely lost as well: one record for all.
-    if (asks || (lately && quiet > silence() / kOthersLostDivisor)) recipients.push_back(label);
+    if (is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kOtherRecipientsTimeoutDivisor)) recipients.push_back(label);
   }
-  if (!due) recipients.clear();
+  if (!is_due) recipients.clear();
   return recipients;
 }
 
 // Its own record is meant for us: it does not hear us, or we do not hear it.
-bool Peers::asks_for_liveness_record(const std::string& label, const Peer& peer,
+bool Peers::is_liveness_record_needed(const std::string& label, const Peer& peer,
                                      const store::Replica& replica) const {
   auto record = replica.liveness_records.find(label);
   return has_recent_liveness_record(peer) && record != replica.liveness_records.end() &&
-         is_meant_for_us(record->second);
+         is_addressed_to_self(record->second);
 }
 
 bool Peers::has_recent_liveness_record(const Peer& peer) const {
-  return context_.now.steady - peer.liveness_seen_at < kLivenessPatience * liveness_interval();
+  return context_.now.steady - peer.liveness_record_seen_at < kLivenessTimeoutIntervals * liveness_record_interval_s();
 }
 
-bool Peers::is_meant_for_us(const model::LivenessRecord& record) const {
+bool Peers::is_addressed_to_self(const model::LivenessRecord& record) const {
   const auto& labels = record.meant_for;
   return std::find(labels.begin(), labels.end(), context_.settings.platform.label) != labels.end();
 }
@@ -172,37 +172,37 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-double Peers::silence() const {
+double Peers::unreachable_timeout_s() const {
   return context_.settings.operators.peer_silence_reports * context_.settings.platform.report_s;
 }
 
-bool Peers::heard(const std::string& label) const {
+bool Peers::is_reachable(const std::string& label) const {
   const Peer* peer = find(label);
-  return peer != nullptr && context_.now.steady - peer->last_heard < silence();
+  return peer != nullptr && context_.now.steady - peer->last_received_at < unreachable_timeout_s();
 }
 
-bool Peers::alive(const std::string& label) const {
+bool Peers::is_alive(const std::string& label) const {
   const Peer* peer = find(label);
-  return peer != nullptr && (heard(label) || has_recent_liveness_record(*peer));
+  return peer != nullptr && (is_reachable(label) || has_recent_liveness_record(*peer));
 }
 
-int Peers::live_controllers() const {
+int Peers::live_controller_count() const {
   const auto alive_peers = std::count_if(labels_.begin(), labels_.end(),
-                                         [this](const auto& label) { return alive(label); });
+                                         [this](const auto& label) { return is_alive(label); });
   return 1 + static_cast<int>(alive_peers);
 }
 
-double Peers::last_heard_any() const {
+double Peers::last_contact_at() const {
   double last = kNever;
   for (const auto& [label, peer] : peers_)
-    last = std::max({last, peer.last_heard, peer.liveness_seen_at});
+    last = std::max({last, peer.last_received_at, peer.liveness_record_seen_at});
   return last;
 }
 
-bool Peers::leader_heard_within(double seconds) const {
+bool Peers::has_leader_message_within(double seconds) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    return peer.heartbeat.term > 0 && context_.now.steady - peer.last_heard < seconds;
+    return peer.heartbeat.term > 0 && context_.now.steady - peer.last_received_at < seconds;
   });
 }
 
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -22,13 +22,13 @@
 // steady clock.
 struct Peer {
   uint64_t incarnation = 0;  // 0: none was heard
-  uint64_t sequence = 0;     // of its last message
-  int version = 0;           // of its last envelope
-  double last_heard = kNever;
-  double first_heard = 0;  // after a silence, or since its process started
+  uint64_t last_sequence = 0;     // of its last message
+  int envelope_version = 0;           // of its last envelope
+  double last_received_at = kNever;
+  double reachable_since = 0;  // after a silence, or since its process started
   // When its last liveness record that is meant for us was seen in the store.
-  double liveness_seen_at = kNever;
-  model::Revision liveness_revision = model::kNoRevision;  // of its last record known
+  double liveness_record_seen_at = kNever;
+  model::Revision liveness_record_revision = model::kNoRevision;  // of its last record known
   wire::ControllerHeartbeat heartbeat;
 };
 
@@ -50,9 +50,9 @@
   void set_envelope_version(int version) { envelope_version_ = version; }
 
   // A connection to the peer ended or was refused.
-  void connection_lost(const std::string& label);
+  void handle_connection_loss(const std::string& label);
   // This process stood still for so many seconds: that time is nobody's silence.
-  void discount_pause(double pause_s);
+  void extend_timeouts(double pause_s);
 
   // Takes up the liveness records of others that are new in the store.
   void read_liveness_records(const store::Replica& replica);
@@ -60,37 +60,37 @@
   // are not now, and those that do not hear us.
   std::vector<std::string> liveness_recipients(const store::Replica& replica) const;
   // Seconds between two liveness records of one controller.
-  double liveness_interval() const;
+  double liveness_record_interval_s() const;
 
   // Of all other controllers in the settings, sorted.
   const std::vector<std::string>& labels() const { return labels_; }
   // Null if the settings have no such other controller.
   const Peer* find(const std::string& label) const;
-  bool alive(const std::string& label) const;
-  bool heard(const std::string& label) const;
+  bool is_alive(const std::string& label) const;
+  bool is_reachable(const std::string& label) const;
   // How many controllers are alive, this one included.
-  int live_controllers() const;
+  int live_controller_count() const;
   // When any other controller last showed that it is alive.
-  double last_heard_any() const;
+  double last_contact_at() const;
   // Whether one that said it leads was heard in the last so many seconds.
-  bool leader_heard_within(double seconds) const;
+  bool has_leader_message_within(double seconds) const;
   // Seconds without a message after which a peer counts as not heard.
-  double silence() const;
+  double unreachable_timeout_s() const;
 
  private:
   void read_liveness_record(const std::string& label, const model::LivenessRecord& record,
                             Peer& peer);
   bool has_recent_liveness_record(const Peer& peer) const;
-  bool asks_for_liveness_record(const std::string& label, const Peer& peer,
+  bool is_liveness_record_needed(const std::string& label, const Peer& peer,
                                 const store::Replica& replica) const;
-  bool is_meant_for_us(const model::LivenessRecord& record) const;
+  bool is_addressed_to_self(const model::LivenessRecord& record) const;
 
   runtime::Context& context_;
   std::map<std::string, Peer> peers_;  // by label; the labels never change
   std::vector<std::string> labels_;
   uint64_t last_sequence_ = 0;
   int envelope_version_ = model::kFirstVersion;
-  bool liveness_records_read_ = false;  // at least once
+  bool has_read_liveness_records_ = false;  // at least once
 };
 
 }  // namespace rooksill::membership
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -13,31 +13,31 @@
 namespace rooksill::membership {
 
 namespace {
-constexpr double kRetryReports = 0.1;  // report periods between two attempts to write
+constexpr double kRetryIntervalHeartbeats = 0.1;  // report periods between two attempts to write
 }  // namespace
 
-void Upgrade::tick(bool leading) {
-  if (!replica_.synced || complete(replica_)) return;
-  if (write_pending_ || context_.now.steady < next_attempt_) return;
-  if (!recorded_own_version())
+void Upgrade::tick(bool is_leader) {
+  if (!replica_.synced || is_complete(replica_)) return;
+  if (is_write_pending_ || context_.now.steady < next_attempt_at_) return;
+  if (!has_recorded_own_version())
     record_version();
-  else if (leading)
-    write_upgrade();
+  else if (is_leader)
+    write_upgrade_record();
 }
 
-model::VersionRecord Upgrade::recorded(const std::string& label) const {
+model::VersionRecord Upgrade::recorded_version(const std::string& label) const {
   auto record = replica_.versions.find(label);
   return record == replica_.versions.end() ? model::VersionRecord{} : record->second;
 }
 
-bool Upgrade::recorded_own_version() const {
-  const model::VersionRecord own = recorded(context_.settings.platform.label);
+bool Upgrade::has_recorded_own_version() const {
+  const model::VersionRecord own = recorded_version(context_.settings.platform.label);
   return own.version == model::kPresentVersion && own.incarnation == context_.incarnation;
 }
 
-bool Upgrade::runs_older_version(const store::Replica& replica, const std::string& label,
+bool Upgrade::is_running_older_version(const store::Replica& replica, const std::string& label,
                                  const Peer& peer) {
-  if (!complete(replica) || !peer.heartbeat.ready || peer.version >= model::kPresentVersion)
+  if (!is_complete(replica) || !peer.heartbeat.ready || peer.envelope_version >= model::kPresentVersion)
     return false;
   auto record = replica.versions.find(label);
   return record == replica.versions.end() || record->second.incarnation != peer.incarnation;
@@ -50,29 +50,29 @@
   record.incarnation = context_.incarnation;
   const std::string key = wire::version_key(label);
   context_.info("upgrade", "records version {} of {}", record.version, label);
-  commit({{key, recorded(label).revision}}, {key, wire::encode_version(record), 0});
+  commit({{key, recorded_version(label).revision}}, {key, wire::encode_version(record), 0});
 }
 
 // A record that an earlier process of this controller left says nothing about a process that was
 // started since with the old version: a peer that is heard under a later incarnation has to record
 // itself first.
 bool Upgrade::has_present_version(const std::string& label) const {
-  const model::VersionRecord record = recorded(label);
+  const model::VersionRecord record = recorded_version(label);
   if (record.version < model::kPresentVersion) return false;
   const Peer* peer = peers_.find(label);
   return peer == nullptr || peer->incarnation <= record.incarnation;
 }
 
 // Every record is a precondition, so that the upgrade is written only on what it was decided on.
-void Upgrade::write_upgrade() {
+void Upgrade::write_upgrade_record() {
   const auto labels = context_.settings.platform.labels();
-  const bool all = std::all_of(labels.begin(), labels.end(),
+  const bool all_upgraded = std::all_of(labels.begin(), labels.end(),
                                [this](const auto& label) { return has_present_version(label); });
-  if (!all) return;
+  if (!all_upgraded) return;
   std::vector<store::Precondition> preconditions{{wire::kLeaderKey, replica_.leader.revision},
                                                  {wire::kUpgradeKey, model::kNoRevision}};
   for (const auto& label : labels)
-    preconditions.push_back({wire::version_key(label), recorded(label).revision});
+    preconditions.push_back({wire::version_key(label), recorded_version(label).revision});
   context_.info("upgrade", "all {} controllers have version {}", labels.size(),
                 model::kPresentVersion);
   const model::UpgradeRecord record{model::kNoRevision, model::kPresentVersion};
@@ -80,16 +80,16 @@
 }
 
 void Upgrade::commit(const std::vector<store::Precondition>& preconditions, store::Write write) {
-  next_attempt_ = context_.now.steady + kRetryReports * context_.settings.platform.report_s;
+  next_attempt_at_ = context_.now.steady + kRetryIntervalHeartbeats * context_.settings.platform.report_s;
   const std::string key = write.key;
-  write_pending_ = committer_.commit(
+  is_write_pending_ = committer_.commit(
       preconditions, {std::move(write)}, [this, key](const store::TransactionResult& result) {
         const bool read_back = result.outcome == store::TransactionOutcome::kConflict ||
                                result.outcome == store::TransactionOutcome::kUnknown;
         if (read_back)
-          committer_.refresh({key}, [this] { write_pending_ = false; });
+          committer_.refresh({key}, [this] { is_write_pending_ = false; });
         else
-          write_pending_ = false;
+          is_write_pending_ = false;
       });
 }
 
--- a/src/rooksill/membership/upgrade.h
+++ b/src/rooksill/membership/upgrade.h
@@ -25,9 +25,9 @@
       : context_(context), replica_(replica), committer_(committer), peers_(peers) {}
 
   // Records this process's version; as the leader, writes the upgrade record when it is due.
-  void tick(bool leading);
+  void tick(bool is_leader);
   // Whether every controller has the present version: a durable fact, never taken back.
-  static bool complete(const store::Replica& replica) {
+  static bool is_complete(const store::Replica& replica) {
     return replica.upgrade.revision != model::kNoRevision &&
            replica.upgrade.version >= model::kPresentVersion;
   }
@@ -35,15 +35,15 @@
   // Whether a process that says it is ready was started with an older version after all controllers
   // had the present one. A process whose own record is known has the present version: it may not
   // have learned yet that all have, and still use the older envelopes.
-  static bool runs_older_version(const store::Replica& replica, const std::string& label,
+  static bool is_running_older_version(const store::Replica& replica, const std::string& label,
                                  const Peer& peer);
 
  private:
   // The record that the store has for a controller; one of version 0 if there is none.
-  model::VersionRecord recorded(const std::string& label) const;
-  bool recorded_own_version() const;
+  model::VersionRecord recorded_version(const std::string& label) const;
+  bool has_recorded_own_version() const;
   void record_version();
-  void write_upgrade();
+  void write_upgrade_record();
   // Whether the process that runs under this label is known to have recorded the present version.
   bool has_present_version(const std::string& label) const;
   void commit(const std::vector<store::Precondition>& preconditions, store::Write write);
@@ -52,8 +52,8 @@
   const store::Replica& replica_;
   store::Committer& committer_;
   const Peers& peers_;
-  bool write_pending_ = false;  // a write was sent, or its key is being read back
-  double next_attempt_ = 0;     // steady seconds
+  bool is_write_pending_ = false;  // a write was sent, or its key is being read back
+  double next_attempt_at_ = 0;     // steady seconds
 };
 
 }  // namespace rooksill::membership
--- a/src/rooksill/runtime/commands.h
+++ b/src/rooksill/runtime/commands.h
@@ -21,7 +21,7 @@
   uint64_t id = 0;
   int status = 0;  // HTTP status; 0: no answer in time, or the connection failed
   std::string body;
-  bool refused = false;  // the connection was never made, so nothing was sent
+  bool connection_refused = false;  // the connection was never made, so nothing was sent
 };
 
 // One framed message from another controller: a packed wire::Envelope.
@@ -30,14 +30,14 @@
 };
 
 // The connection to another controller ended or was refused.
-struct PeerLost {
+struct PeerDisconnected {
   std::string label;
 };
 
 // The time has moved on and nothing else has happened.
 struct Tick {};
 
-using Command = std::variant<Request, CallDone, PeerMessage, PeerLost, Tick>;
+using Command = std::variant<Request, CallDone, PeerMessage, PeerDisconnected, Tick>;
 
 // The two clocks of this process, read once for each batch.
 struct Time {
--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -33,7 +33,7 @@
     effects_.calls.push_back({id, target, std::move(address), std::move(method), std::move(path),
                               std::move(body), timeout_s});
   }
-  void finish_call(const CallDone& done) { pending_calls_.finish(now.steady, done); }
+  void finish_call(const CallDone& result) { pending_calls_.finish(now.steady, result); }
 
   // Answers a request. `retry_after_s` goes into the Retry-After header; 0: no such header.
   void reply(uint64_t request, int status, std::string body, double retry_after_s = 0) {
@@ -41,7 +41,7 @@
   }
 
   void send_to_peer(const std::string& label, std::string bytes) {
-    effects_.peer.push_back({label, std::move(bytes)});
+    effects_.peer_messages.push_back({label, std::move(bytes)});
   }
 
   template <typename... Args>
@@ -57,7 +57,7 @@
 
   // Adds to a named counter; all counters are logged at intervals.
   void count(const char* counter, double amount = 1) { counters_.add(counter, amount); }
-  std::map<std::string, double> take_counters() { return counters_.take(); }
+  std::map<std::string, double> consume_counters() { return counters_.consume(); }
 
   // A random number in [low, high).
   double uniform(double low, double high) {
--- a/src/rooksill/runtime/counters.h
+++ b/src/rooksill/runtime/counters.h
@@ -12,7 +12,7 @@
   void add(const char* name, double amount) { values_[name] += amount; }
 
   // The values since the last call, by name.
-  std::map<std::string, double> take() { return std::exchange(values_, {}); }
+  std::map<std::string, double> consume() { return std::exchange(values_, {}); }
 
  private:
   std::map<std::string, double> values_;
--- a/src/rooksill/runtime/effects.h
+++ b/src/rooksill/runtime/effects.h
@@ -9,12 +9,12 @@
 namespace rooksill::runtime {
 
 // Who is called. The HTTP client keeps sockets for the first two when workers take up the rest.
-enum class Target { kState, kCloud, kWorker };
+enum class Target { kStore, kCloud, kWorker };
 
 // An HTTP call. Its outcome comes back as a CallDone with the same id.
 struct Call {
   uint64_t id = 0;
-  Target target = Target::kState;
+  Target target = Target::kStore;
   std::string address;  // host:port
   std::string method;
   std::string path;
@@ -47,13 +47,13 @@
 struct Effects {
   std::vector<Call> calls;
   std::vector<Reply> replies;
-  std::vector<PeerSend> peer;
+  std::vector<PeerSend> peer_messages;
   std::vector<LogLine> log;
 
   void clear() {
     calls.clear();
     replies.clear();
-    peer.clear();
+    peer_messages.clear();
     log.clear();
   }
 };
--- a/src/rooksill/runtime/pending_calls.h
+++ b/src/rooksill/runtime/pending_calls.h
@@ -17,7 +17,7 @@
   // Registers a call made at `now` (steady seconds) and returns its id.
   uint64_t add(double now, double timeout_s, CallHandler handler) {
     const uint64_t id = next_id_++;
-    pending_.emplace(id, PendingCall{std::move(handler), now + timeout_s + kLateAnswerS});
+    pending_.emplace(id, PendingCall{std::move(handler), now + timeout_s + kLateResponseToleranceS});
     return id;
   }
 
@@ -41,7 +41,7 @@
   };
 
   // By how much an answer may exceed its timeout and still count, in seconds.
-  static constexpr double kLateAnswerS = 0.5;
+  static constexpr double kLateResponseToleranceS = 0.5;
 
   uint64_t next_id_ = 1;
   std::unordered_map<uint64_t, PendingCall> pending_;
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -84,7 +84,7 @@
 TransactionResult Client::transaction_result(const runtime::CallDone& done) {
   if (done.status == 0) {
     TransactionResult result;
-    if (done.refused) result.outcome = TransactionOutcome::kRefused;
+    if (done.connection_refused) result.outcome = TransactionOutcome::kRefused;
     return result;
   }
   // Others have used more than their share, or the store is overloaded: it gets a pause.
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -8,7 +8,7 @@
 using rooksill::controller::Controller;
 using rooksill::runtime::Command;
 using rooksill::runtime::Effects;
-using rooksill::runtime::PeerLost;
+using rooksill::runtime::PeerDisconnected;
 using rooksill::runtime::Reply;
 using rooksill::runtime::Request;
 using rooksill::runtime::Tick;
@@ -62,7 +62,7 @@
   const auto unanswered = std::exchange(p.unanswered, {});
   for (const auto& [id, on_answer] : unanswered) on_answer({});
   for (size_t i = 0; i < processes_.size(); ++i)
-    if (i != controller) deliver(i, PeerLost{p.label});
+    if (i != controller) deliver(i, PeerDisconnected{p.label});
   simulation_.events.after(down_s, [this, controller, generation = p.generation] {
     if (process(controller).generation == generation) boot(controller);
   });
@@ -121,7 +121,7 @@
     auto asked = p.unanswered.extract(reply.request);
     if (!asked.empty()) asked.mapped()({reply.status, reply.body, reply.retry_after_s});
   }
-  for (const auto& message : effects.peer) handler_->on_peer_message(controller, message);
+  for (const auto& message : effects.peer_messages) handler_->on_peer_message(controller, message);
   for (const auto& call : effects.calls) handler_->on_call(controller, call);
 }
 
--- a/tests/standins/effects_digest.cc
+++ b/tests/standins/effects_digest.cc
@@ -6,7 +6,7 @@
 
 void EffectsDigest::add(double now, std::string_view controller,
                         const rooksill::runtime::Effects& effects) {
-  if (effects.calls.empty() && effects.replies.empty() && effects.peer.empty()) return;
+  if (effects.calls.empty() && effects.replies.empty() && effects.peer_messages.empty()) return;
   add_number(now);
   add_text(controller);
   for (const auto& reply : effects.replies) {
@@ -15,7 +15,7 @@
     add_number(reply.retry_after_s);
     add_text(reply.body);
   }
-  for (const auto& message : effects.peer) {
+  for (const auto& message : effects.peer_messages) {
     add_text(message.label);
     add_text(message.bytes);
   }
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -73,7 +73,7 @@
 
 void MessageRouter::execute(size_t from, const Call& call, const AnswerHandler& on_answer) {
   switch (call.target) {
-    case Target::kState:
+    case Target::kStore:
       return execute_at_store(from, call, on_answer);
     case Target::kCloud:
       return on_answer(cloud_.handle(simulation_.now(), {call.method, call.path, call.body}));
--- a/tests/standins/network.cc
+++ b/tests/standins/network.cc
@@ -13,7 +13,7 @@
 
 Link link_to(Target target) {
   switch (target) {
-    case Target::kState:
+    case Target::kStore:
       return Link::kStore;
     case Target::kCloud:
       return Link::kCloud;
@@ -105,7 +105,7 @@
   Random& random = simulation_.random;
   const MessageFaults& faults = message_faults_;
   delivery.answer_lost = random.happens(faults.lost_answer_chance);
-  if (call.target == Target::kState) {
+  if (call.target == Target::kStore) {
     if (faults.store_delay_s > 0) delivery.at += faults.store_delay_s * random.unit();
     if (faults.late_transactions.chance > 0 && call.path == "/txn" &&
         random.happens(faults.late_transactions.chance)) {
