--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -136,7 +136,7 @@
   std::string most = candidates.labels.front(), to;
   for (const auto& label : candidates.labels) {
     const membership::Peer* peer = peers_.find(label);
-    const double back_since = peer != nullptr ? peer->reachable_since : election_.term_started();
+    const double back_since = peer != nullptr ? peer->alive_since : election_.term_started();
     if (owned.at(label) > owned.at(most)) most = label;
     if (context_.now.steady - back_since > settle && (to.empty() || owned.at(label) < owned.at(to)))
       to = label;
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -10,14 +10,15 @@
 namespace rooksill::membership {
 
 namespace {
-// Cancellations kept for peers that have not confirmed them, whatever the number of machines or
-// jobs. A peer that lacks more than these confirms them once it has asked the store, and its word
-// does not count before: this bound costs time in an outage, never a cancellation.
+// Limit on the cancellations kept for peers that have not acknowledged them, independent of the
+// number of machines and jobs. A peer that misses older ones acknowledges them only after it has
+// synchronized with the store, and counts as behind until then. The limit therefore delays
+// acknowledgements in an outage but loses no cancellation.
 constexpr size_t kMaxKeptCancellations = 4096;
 constexpr size_t kMaxCancellationsPerMessage = 500;
 constexpr size_t kMaxCountSamples = 32;
-constexpr double kResendIntervalHeartbeats = 0.3;  // report periods until what is not confirmed is sent again
-// Heartbeats of an older form carry a far earlier time.
+constexpr double kResendIntervalHeartbeats = 0.3;  // until unacknowledged ones are resent
+// Heartbeats of an older version lack the field `sent_at`, whose default is far earlier than this.
 constexpr double kMinSentAtS = -1;
 }  // namespace
 
@@ -33,8 +34,9 @@
 
 void Cancellations::collect() {
   auto new_jobs = std::exchange(replica_.changes.cancelled, {});
-  // What the first listing brings was there before any peer hears that this process knows the
-  // store; a peer that counts on our word has asked the store since.
+  // Cancellations from the first listing need no number: they were in the store before any peer
+  // learns that this process is ready, and a peer relies on this process's counts only if it has
+  // synchronized with the store since then.
   if (!std::exchange(was_synced_, replica_.synced)) return;
   for (auto& job : new_jobs) kept_jobs_.push_back(std::move(job));
   uint64_t first_needed = first_kept_ + kept_jobs_.size();
@@ -81,7 +83,7 @@
 
 void Cancellations::receive(const std::string& label, const wire::Cancelled& message) {
   PeerProgress& progress = progress_of(label);
-  // Acted on at once; the job's record follows by the watch.
+  // Takes effect immediately; the job's record arrives later through the watch.
   for (const auto& job : message.jobs)
     if (wire::valid_job_id(job)) replica_.record_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
@@ -110,7 +112,8 @@
     progress.count_samples.push_back(sample);
 }
 
-// What a peer had learned when the store was asked is known from the store's answer.
+// Counts received before the last synchronization with the store are covered by it: the peer had
+// learned those cancellations from the store, so the replica has them too.
 void Cancellations::apply_store_sync(PeerProgress& progress) const {
   while (!progress.count_samples.empty() && progress.count_samples.front().received_at < replica_.synced_at) {
     progress.received_up_to = std::max(progress.received_up_to, progress.count_samples.front().count);
@@ -118,13 +121,14 @@
   }
 }
 
-// A heartbeat is older than its arrival, by minutes if it was held up. It is later than the last of
-// our own that it answers to, and that one's time is known by our clock.
+// The time of arrival is no lower bound for the time when a heartbeat was sent: delivery can take
+// minutes. The heartbeat was sent later than the heartbeat of ours that it acknowledges, whose time
+// is known by our clock, so that time is used.
 void Cancellations::process_ack(const std::string& label, const wire::CancellationAck& ack,
                             uint64_t announced_count, PeerProgress& progress) {
   progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancelled);
-  // What an earlier process of this peer confirmed to users is known only if the store was asked
-  // since that process was gone.
+  // Cancellations confirmed by an earlier process of this peer are known only if the replica was
+  // synchronized after that process had ended, that is, since its successor is ready.
   const bool earlier_process_covered =
       progress.ready_at && replica_.synced_at >= *progress.ready_at;
   if (!earlier_process_covered || progress.received_up_to < announced_count) return;
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -7,17 +7,18 @@
 
 namespace {
 
-constexpr double kLivenessIntervalHeartbeats = 0.4;   // report periods between two liveness records
-constexpr double kLivenessTimeoutIntervals = 2.5;  // intervals for which a record counts
-// A peer that was heard within so many lease times was heard lately.
+constexpr double kLivenessIntervalHeartbeats = 0.4;   // between two liveness records
+constexpr double kLivenessTimeoutIntervals = 2.5;  // for which a liveness record counts
+// A peer was in contact recently if that was within this many worker lease times.
 constexpr double kRecentContactLeases = 2;
-// Parts of the silence after which a peer seems lost. One alone has to be quiet for longer.
+// Fractions of the unreachable timeout after which a liveness record is written for a peer without
+// messages. The first recipient has to be without messages for longer than the others.
 constexpr double kFirstRecipientTimeoutDivisor = 3;
 constexpr double kOtherRecipientsTimeoutDivisor = 5;
-// Part of its patience that a peer keeps when its connection ends.
+// Fraction of the unreachable timeout that remains for a peer whose connection ended.
 constexpr double kLostConnectionTimeoutDivisor = 2;
 
-// Another process runs as this controller now.
+// Discards the state of the peer's earlier process.
 void reset_for_new_process(uint64_t incarnation, Peer& peer) {
   peer.incarnation = incarnation;
   peer.last_sequence = 0;
@@ -28,8 +29,8 @@
   return envelope.version >= model::kFirstVersion && envelope.version <= model::kPresentVersion;
 }
 
-// Incarnations grow with the time of day. Packets that were held up come late, also from an earlier
-// process.
+// Incarnations grow with the time of day. Delayed packets can arrive out of order, also from an
+// earlier process.
 bool is_stale(const wire::Envelope& envelope, const Peer& peer) {
   if (envelope.incarnation != peer.incarnation) return envelope.incarnation < peer.incarnation;
   return envelope.sequence <= peer.last_sequence;
@@ -55,7 +56,7 @@
   if (is_stale(envelope, peer)) return std::nullopt;
   const bool is_new_process = envelope.incarnation != peer.incarnation;
   if (is_new_process) reset_for_new_process(envelope.incarnation, peer);
-  if (is_new_process || !is_alive(envelope.label)) peer.reachable_since = context_.now.steady;
+  if (is_new_process || !is_alive(envelope.label)) peer.alive_since = context_.now.steady;
   peer.last_sequence = envelope.sequence;
   peer.envelope_version = envelope.version;
   peer.last_received_at = context_.now.steady;
@@ -81,7 +82,7 @@
   for (const auto& label : labels_) send(label, kind, payload);
 }
 
-// An ended connection is a hint only: the peer gets half of its patience to be heard again.
+// A lost connection is no proof of failure: the peer is left half of the timeout to send a message.
 void Peers::handle_connection_loss(const std::string& label) {
   auto found = peers_.find(label);
   if (found == peers_.end()) return;
@@ -112,17 +113,17 @@
   has_read_liveness_records_ = true;
 }
 
-// A peer whose connections are refused is not dead for that: its record shows that it is alive.
-// Only records that are meant for us count: a controller writes them also while another one is
-// down, and its own death must not be found out the later for it.
+// The liveness record shows that a peer is alive even if connections to it fail. Only records that
+// are addressed to this controller count: a controller also writes them while some other one is
+// down, and those must not delay the detection of its own failure.
 void Peers::read_liveness_record(const std::string& label, const model::LivenessRecord& record,
                                  Peer& peer) {
   peer.liveness_record_revision = record.revision;
-  // What was there when this process started may be long out of date.
+  // Records that existed when this process started may be stale.
   if (!has_read_liveness_records_ || record.incarnation < peer.incarnation) return;
   if (!is_addressed_to_self(record)) return;
   if (record.incarnation != peer.incarnation) reset_for_new_process(record.incarnation, peer);
-  if (!is_alive(label)) peer.reachable_since = context_.now.steady;
+  if (!is_alive(label)) peer.alive_since = context_.now.steady;
   peer.liveness_record_seen_at = context_.now.steady;
   if (is_reachable(label)) return;
   peer.heartbeat.ready = true;
@@ -140,14 +141,15 @@
     const bool is_recent = since_contact_s < kRecentContactLeases * context_.settings.platform.lease_s;
     const bool is_needed = is_liveness_record_needed(label, peer, replica);
     is_due = is_due || is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kFirstRecipientTimeoutDivisor);
-    // With one lost, others that missed a heartbeat are likely lost as well: one record for all.
+    // If one peer is becoming unreachable, others that missed a heartbeat probably are too, so one
+    // record is written for all of them.
     if (is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kOtherRecipientsTimeoutDivisor)) recipients.push_back(label);
   }
   if (!is_due) recipients.clear();
   return recipients;
 }
 
-// Its own record is meant for us: it does not hear us, or we do not hear it.
+// A recent record of the peer that is addressed to us shows that messages fail in one direction.
 bool Peers::is_liveness_record_needed(const std::string& label, const Peer& peer,
                                      const store::Replica& replica) const {
   auto record = replica.liveness_records.find(label);
@@ -164,8 +166,8 @@
   return std::find(labels.begin(), labels.end(), context_.settings.platform.label) != labels.end();
 }
 
-// ---- who is alive
-// ----------------------------------------------------------------------------------
+// ---- failure detection
+// ------------------------------------------------------------------------------
 
 const Peer* Peers::find(const std::string& label) const {
   auto found = peers_.find(label);
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -1,4 +1,4 @@
-// The other controllers: messages to and from them, and which of them are alive.
+// The other controllers of the cluster: messages to and from them, and failure detection.
 #pragma once
 
 #include <cstdint>
@@ -18,63 +18,76 @@
 // Earlier than every time of the steady clock.
 inline constexpr double kNever = -1e9;
 
-// What is known of the process that runs as another controller. Times are seconds of this process's
-// steady clock.
+// The known state of the process that runs as another controller. Times are seconds of this
+// process's steady clock.
 struct Peer {
-  uint64_t incarnation = 0;  // 0: none was heard
-  uint64_t last_sequence = 0;     // of its last message
-  int envelope_version = 0;           // of its last envelope
+  uint64_t incarnation = 0;    // 0: no message or liveness record was received yet
+  uint64_t last_sequence = 0;  // sequence number of its last message
+  int envelope_version = 0;    // version of its last envelope
+  // When its last message was received; adjusted by handle_connection_loss() and extend_timeouts().
   double last_received_at = kNever;
-  double reachable_since = 0;  // after a silence, or since its process started
-  // When its last liveness record that is meant for us was seen in the store.
+  // Since when it is alive without interruption and in the same process.
+  double alive_since = 0;
+  // When its last liveness record that is addressed to this controller was read from the store.
   double liveness_record_seen_at = kNever;
-  model::Revision liveness_record_revision = model::kNoRevision;  // of its last record known
+  // Revision of its newest liveness record, whomever it is addressed to.
+  model::Revision liveness_record_revision = model::kNoRevision;
+  // Its last heartbeat; some fields come from its liveness record while it is not reachable.
   wire::ControllerHeartbeat heartbeat;
 };
 
-// Owns what is known of the other controllers in the settings. A peer is heard while messages come
-// over its own connections; it is alive if it is heard or, where connections fail, while it renews
-// its liveness record in the store. All of it is soft state: nothing here is relied on for safety.
+// Tracks the state of the other controllers in the settings. A peer is reachable while messages
+// arrive over its own connections. It is alive if it is reachable or, where connections fail, while
+// it renews its liveness record in the store. All of this is soft state: safety does not depend on
+// it.
 class Peers {
  public:
   explicit Peers(runtime::Context& context);
 
-  // Nothing if the message is malformed, from no controller in the settings, or older than what was
-  // heard.
+  // Decodes a message and records its sender as reachable. Returns nothing if the message is
+  // malformed, has an unsupported version, comes from a controller that is not in the settings, or
+  // is not newer than the last message received from that controller.
   std::optional<wire::Envelope> receive(const std::string& bytes);
-  // What a message of that kind said. `label`: of an envelope that was received.
+  // Stores the heartbeat from a received envelope. `label` is the envelope's.
   void record_heartbeat(const std::string& label, wire::ControllerHeartbeat heartbeat);
+  // Sends a packed message of the given kind to one peer. The message may be lost.
   void send(const std::string& label, wire::PeerKind kind, const std::string& payload);
+  // Sends a packed message of the given kind to every peer.
   void broadcast(wire::PeerKind kind, const std::string& payload);
-  // From now on messages go out in envelopes of this version, which older processes do not take.
+  // Sets the version of the envelopes sent from now on. Processes of older versions reject
+  // envelopes of a newer one.
   void set_envelope_version(int version) { envelope_version_ = version; }
 
-  // A connection to the peer ended or was refused.
+  // Shortens the peer's timeout after a connection to it ended or was refused.
   void handle_connection_loss(const std::string& label);
-  // This process stood still for so many seconds: that time is nobody's silence.
+  // Extends all timeouts by a pause of this process, during which it could receive no messages.
   void extend_timeouts(double pause_s);
 
-  // Takes up the liveness records of others that are new in the store.
+  // Reads the peers' liveness records that are new in the replica.
   void read_liveness_records(const store::Replica& replica);
-  // Whom this process should leave a liveness record for: those that were heard until lately and
-  // are not now, and those that do not hear us.
+  // Returns the labels of the peers that this process should write a liveness record for: those
+  // that were in contact recently and are becoming unreachable, and those that addressed a recent
+  // liveness record to this controller. Empty if no record is due.
   std::vector<std::string> liveness_recipients(const store::Replica& replica) const;
-  // Seconds between two liveness records of one controller.
+  // Returns the interval between two liveness records of one controller.
   double liveness_record_interval_s() const;
 
-  // Of all other controllers in the settings, sorted.
+  // Returns the labels of all other controllers in the settings, sorted.
   const std::vector<std::string>& labels() const { return labels_; }
-  // Null if the settings have no such other controller.
+  // Returns the peer's state, or null if the settings have no other controller with this label.
   const Peer* find(const std::string& label) const;
+  // Returns whether the peer is reachable or has written a recent liveness record.
   bool is_alive(const std::string& label) const;
+  // Returns whether a message from the peer was received within the timeout.
   bool is_reachable(const std::string& label) const;
-  // How many controllers are alive, this one included.
+  // Returns how many controllers are alive, this one included.
   int live_controller_count() const;
-  // When any other controller last showed that it is alive.
+  // Returns when the last message or liveness record of any peer was received, or kNever.
   double last_contact_at() const;
-  // Whether one that said it leads was heard in the last so many seconds.
+  // Returns whether a peer whose last heartbeat claimed leadership sent a message in the last
+  // `seconds`.
   bool has_leader_message_within(double seconds) const;
-  // Seconds without a message after which a peer counts as not heard.
+  // Returns the time without a message after which a peer counts as unreachable.
   double unreachable_timeout_s() const;
 
  private:
@@ -82,13 +95,13 @@
                             Peer& peer);
   bool has_recent_liveness_record(const Peer& peer) const;
   bool is_liveness_record_needed(const std::string& label, const Peer& peer,
-                                const store::Replica& replica) const;
+                                 const store::Replica& replica) const;
   bool is_addressed_to_self(const model::LivenessRecord& record) const;
 
   runtime::Context& context_;
   std::map<std::string, Peer> peers_;  // by label; the labels never change
   std::vector<std::string> labels_;
-  uint64_t last_sequence_ = 0;
+  uint64_t last_sequence_ = 0;  // of the messages that this process sent
   int envelope_version_ = model::kFirstVersion;
   bool has_read_liveness_records_ = false;  // at least once
 };
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -13,7 +13,7 @@
 namespace rooksill::membership {
 
 namespace {
-constexpr double kRetryIntervalHeartbeats = 0.1;  // report periods between two attempts to write
+constexpr double kRetryIntervalHeartbeats = 0.1;  // between two attempts to write
 }  // namespace
 
 void Upgrade::tick(bool is_leader) {
@@ -49,13 +49,13 @@
   record.version = model::kPresentVersion;
   record.incarnation = context_.incarnation;
   const std::string key = wire::version_key(label);
-  context_.info("upgrade", "records version {} of {}", record.version, label);
+  context_.info("upgrade", "recording version {} of controller {}", record.version, label);
   commit({{key, recorded_version(label).revision}}, {key, wire::encode_version(record), 0});
 }
 
-// A record that an earlier process of this controller left says nothing about a process that was
-// started since with the old version: a peer that is heard under a later incarnation has to record
-// itself first.
+// A record from an earlier process of the controller does not show the version of a process that was
+// started later, possibly with the old version. A peer with a later incarnation than its record has
+// to write its own record first.
 bool Upgrade::has_present_version(const std::string& label) const {
   const model::VersionRecord record = recorded_version(label);
   if (record.version < model::kPresentVersion) return false;
@@ -63,7 +63,8 @@
   return peer == nullptr || peer->incarnation <= record.incarnation;
 }
 
-// Every record is a precondition, so that the upgrade is written only on what it was decided on.
+// The revisions of the leader record and of all version records are preconditions, so that the
+// upgrade record is written only if none of them has changed since the decision.
 void Upgrade::write_upgrade_record() {
   const auto labels = context_.settings.platform.labels();
   const bool all_upgraded = std::all_of(labels.begin(), labels.end(),
@@ -73,7 +74,7 @@
                                                  {wire::kUpgradeKey, model::kNoRevision}};
   for (const auto& label : labels)
     preconditions.push_back({wire::version_key(label), recorded_version(label).revision});
-  context_.info("upgrade", "all {} controllers have version {}", labels.size(),
+  context_.info("upgrade", "all {} controllers have recorded version {}; writing the upgrade record", labels.size(),
                 model::kPresentVersion);
   const model::UpgradeRecord record{model::kNoRevision, model::kPresentVersion};
   commit(preconditions, {wire::kUpgradeKey, wire::encode_upgrade(record), 0});
@@ -84,9 +85,9 @@
   const std::string key = write.key;
   is_write_pending_ = committer_.commit(
       preconditions, {std::move(write)}, [this, key](const store::TransactionResult& result) {
-        const bool read_back = result.outcome == store::TransactionOutcome::kConflict ||
+        const bool should_read_back = result.outcome == store::TransactionOutcome::kConflict ||
                                result.outcome == store::TransactionOutcome::kUnknown;
-        if (read_back)
+        if (should_read_back)
           committer_.refresh({key}, [this] { is_write_pending_ = false; });
         else
           is_write_pending_ = false;
