--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -33,7 +33,8 @@
   cancelled_job.tasks_per_shard = job.tasks_per_shard;
   cancelled_job.end = model::JobEnd::kCancelled;
   auto record = wire::encode_job(cancelled_job);
-  // A record from before the store lowered its limits; its types are of no more use.
+  // Records from before the store lowered its limits can be too large. The allowed machine types
+  // can be dropped, as they are not used after the job has ended.
   if (record.dump().size() > context_.settings.platform.state_value_bytes) {
     cancelled_job.spec.types.clear();
     record = wire::encode_job(cancelled_job);
@@ -42,14 +43,14 @@
 }
 
 void JobCanceller::handle_result(uint64_t request, const std::string& id, int conflicts,
-                          store::TransactionOutcome outcome) {
+                                 store::TransactionOutcome outcome) {
   switch (outcome) {
     case store::TransactionOutcome::kApplied:
       context_.debug("api", "job {} cancelled", id);
       return responder_.reply_status(request, id);
     case store::TransactionOutcome::kConflict:
-      return lookup_.read(request, id,
-                          [this, request, id, conflicts] { try_cancel(request, id, conflicts + 1); });
+      return lookup_.read(
+          request, id, [this, request, id, conflicts] { try_cancel(request, id, conflicts + 1); });
     case store::TransactionOutcome::kUnknown:
       return lookup_.read(request, id, [this, request, id] {
         if (replica_.job(id)->over())
--- a/src/rooksill/api/job_canceller.h
+++ b/src/rooksill/api/job_canceller.h
@@ -13,8 +13,8 @@
 
 namespace rooksill::api {
 
-// A cancellation is confirmed only once it is in the store. A job that was over before is answered
-// with the end that it has.
+// Replies to a cancellation only after it is in the store. For a job that has already ended,
+// replies with its final status.
 class JobCanceller {
  public:
   JobCanceller(runtime::Context& context, const store::Replica& replica,
@@ -25,14 +25,18 @@
         responder_(responder),
         lookup_(lookup) {}
 
+  // Cancels the job and replies with its status; replies 404 if there is no such job, and 503 if
+  // the cancellation cannot be confirmed.
   void cancel(uint64_t request, const std::string& id) { try_cancel(request, id, 0); }
 
  private:
-  // `conflicts`: how often the job's record had changed under this request.
+  // `conflicts`: how many earlier writes for this request failed because the job's record had
+  // changed.
   void try_cancel(uint64_t request, const std::string& id, int conflicts);
+  // Returns the write that replaces the job's record by a cancelled one.
   store::Write cancelled_record(const model::Job& job) const;
   void handle_result(uint64_t request, const std::string& id, int conflicts,
-              store::TransactionOutcome outcome);
+                     store::TransactionOutcome outcome);
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/api/job_lookup.h
+++ b/src/rooksill/api/job_lookup.h
@@ -1,4 +1,4 @@
-// Reads single jobs from the store that the replica does not have, or may have in an old state.
+// Reads single jobs from the store that are missing from the replica or may be stale in it.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +12,8 @@
 
 namespace rooksill::api {
 
-// The number of reads under way is bounded. A request whose read cannot be made, or has no answer,
-// gets 503.
+// Reads jobs for users' requests. The number of pending reads is bounded. If a read cannot be sent
+// or gets no response, the request is answered with 503.
 class JobLookup {
  public:
   using Handler = std::function<void()>;
@@ -21,9 +21,10 @@
   JobLookup(store::Replica& replica, store::Client& client, Responder& responder)
       : replica_(replica), client_(client), responder_(responder) {}
 
-  // Runs `found` once the job is in the replica; replies 404 if the store has no such job.
+  // Reads the job and runs `on_found` once it is in the replica; replies 404 if the store has no
+  // such job.
   void read(uint64_t request, const std::string& id, Handler on_found);
-  // Runs `absent` if the store has no such job.
+  // As above, but runs `on_absent` if the store has no such job.
   void read(uint64_t request, const std::string& id, Handler on_found, Handler on_absent);
 
  private:
--- a/src/rooksill/api/job_validator.cc
+++ b/src/rooksill/api/job_validator.cc
@@ -14,7 +14,7 @@
 }
 
 bool exceeds_quota(const model::JobSpec& spec, const TeamQuota& quota) {
-  // An array runs with as little as one task at a time; all others need all of their tasks at once.
+  // The tasks of an array may run one at a time; other jobs need all of their tasks at once.
   const double tasks_at_once = spec.shape == model::Shape::kArray ? 1 : spec.tasks;
   return (quota.cpus_max > 0 && spec.request.cpus * tasks_at_once > quota.cpus_max) ||
          (quota.gpus_max > 0 && spec.request.gpus * tasks_at_once > quota.gpus_max);
@@ -37,7 +37,8 @@
   if (quota == platform.teams.end()) return "unknown team";
   if (spec.shape == model::Shape::kGang) {
     if (!supports_gangs(platform)) return "workers here run no gangs";
-    // All tasks of an attempt are placed with one change of one value.
+    // All tasks of a gang's attempt are placed by one change of one store value, so they have to
+    // fit one shard.
     if (spec.tasks > replica.tasks_per_shard()) return "more tasks than can be started at once";
   }
   if (exceeds_quota(spec, quota->second)) return "more than the team's limit";
--- a/src/rooksill/api/job_validator.h
+++ b/src/rooksill/api/job_validator.h
@@ -1,4 +1,4 @@
-// Whether a job that a user submits can run in this cluster at all.
+// Checks that a submitted job can run in this cluster at all.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 
 namespace rooksill::api {
 
-// The reason why the job could never run, in words for its user; nothing if it can. The replica has
-// to know the machine types.
+// Returns why the job can never run, as an error text for the user, or nothing if it can. The
+// replica must have the machine types.
 std::optional<std::string> rejection_reason(const model::JobSpec& spec,
                                             const PlatformSettings& platform,
                                             const store::Replica& replica);
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -9,8 +9,10 @@
 namespace rooksill::api {
 
 namespace {
-constexpr double kStoreRequestRatio = 0.15;  // of this controller's requests to the store
-// Polls in one check, and polls queued, per operation that the store allows in a transaction.
+constexpr double kStoreRequestRatio =
+    0.15;  // of this controller's share of the store's request rate
+// Limits on the polls in one check and on the queued polls, per operation that the store allows in
+// a transaction. Several polls of the same job need one operation.
 constexpr size_t kMaxPollsPerTransactionOp = 4;
 constexpr size_t kMaxQueuedPollsPerTransactionOp = 16;
 }  // namespace
@@ -28,7 +30,7 @@
   const model::Job* job = replica_.job(id);
   if (job == nullptr)
     return lookup_.read(request, id, [this, request, id] { responder_.reply_status(request, id); });
-  if (job->over()) return responder_.reply_status(request, id);  // ends are final
+  if (job->over()) return responder_.reply_status(request, id);  // the end of a job is final
   if (polls_.size() >= context_.settings.platform.state_txn_ops * kMaxQueuedPollsPerTransactionOp)
     return responder_.reply_retry(request);
   polls_.push_back({request, id, context_.now.steady});
@@ -58,7 +60,8 @@
   }
 }
 
-std::vector<store::Precondition> PollQueue::revision_preconditions(const std::vector<Poll>& group) const {
+std::vector<store::Precondition> PollQueue::revision_preconditions(
+    const std::vector<Poll>& group) const {
   std::vector<store::Precondition> preconditions;
   std::set<std::string> ids;
   for (const Poll& poll : group)
@@ -67,7 +70,8 @@
   return preconditions;
 }
 
-void PollQueue::handle_result(const std::vector<Poll>& group, const store::TransactionResult& result) {
+void PollQueue::handle_result(const std::vector<Poll>& group,
+                              const store::TransactionResult& result) {
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied:
       return reply_group(group, {});
@@ -82,7 +86,7 @@
   }
 }
 
-// Jobs that have changed in the store are read before their polls are answered.
+// Jobs that have changed in the store are read again before their polls are answered.
 void PollQueue::reply_group(const std::vector<Poll>& group,
                             const std::set<std::string>& changed_keys) {
   for (const Poll& poll : group) {
--- a/src/rooksill/api/poll_queue.h
+++ b/src/rooksill/api/poll_queue.h
@@ -1,4 +1,4 @@
-// Polls of jobs' states that wait to be checked against the store.
+// Queue of polls of job statuses, which are checked against the store before they are answered.
 #pragma once
 
 #include <cstddef>
@@ -17,17 +17,21 @@
 
 namespace rooksill::api {
 
-// A state told to a user never goes back. Another controller may have told of an end that has not
-// reached this replica, so the revision of a job that is not over is compared with the store before
-// the poll is answered: many jobs in one transaction without writes.
+// Answers polls such that a status reported to a user is never followed by an earlier one. Another
+// controller may have reported an end that has not reached this replica, so the revision of a job
+// that has not ended is compared with the store before the poll is answered. One transaction
+// without writes checks many jobs.
 class PollQueue {
  public:
   PollQueue(runtime::Context& context, const store::Replica& replica, store::Client& client,
             Responder& responder, JobLookup& lookup);
 
+  // Replies with the job's status, at once if the job has ended. Otherwise queues the poll, or
+  // replies 503 if the queue is full.
   void poll(uint64_t request, const std::string& id);
-  // Sends the next check if it is due, and answers what has waited too long with 503.
+  // Sends the next check if it is due, and replies 503 to polls queued for more than kMaxQueueingS.
   void flush();
+  // Returns the number of queued polls, without those being checked.
   size_t size() const { return polls_.size(); }
 
  private:
@@ -38,6 +42,7 @@
   };
 
   void drop_expired();
+  // Returns one precondition for each job of the group: its record has the replica's revision.
   std::vector<store::Precondition> revision_preconditions(const std::vector<Poll>& group) const;
   void handle_result(const std::vector<Poll>& group, const store::TransactionResult& result);
   void reply_group(const std::vector<Poll>& group, const std::set<std::string>& changed_keys);
--- a/src/rooksill/api/responder.cc
+++ b/src/rooksill/api/responder.cc
@@ -5,7 +5,7 @@
 namespace rooksill::api {
 
 namespace {
-constexpr double kRetryAfterS = 1;  // the shortest pause that users make
+constexpr double kRetryAfterS = 1;  // the shortest interval at which users retry
 }  // namespace
 
 void Responder::reply_status(uint64_t request, const std::string& id) {
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -15,12 +15,14 @@
 
 namespace {
 
-constexpr double kStoreRequestRatio = 0.2;    // of this controller's requests to the store
-constexpr double kMaxQueueLengthS = 2;  // of the store's writes: no longer queue is kept
+constexpr double kStoreRequestRatio =
+    0.2;                                // of this controller's share of the store's request rate
+constexpr double kMaxQueueLengthS = 2;  // queue limit, as time to write it at the store's rate
 constexpr size_t kMaxTransactionBytes = size_t{48} * 1024;
-constexpr size_t kPerValueOverheadBytes = 200;  // of a transaction, for each value: key, guard and so on
+constexpr size_t kPerValueOverheadBytes = 200;  // in a transaction: key, precondition and so on
 
-// A tenth of the value is left for what the record gains later, such as the job's end.
+// A tenth of the value limit is reserved for fields that the record gains later, such as the job's
+// end.
 bool fits_store_value(const model::Job& job, const PlatformSettings& platform) {
   return wire::encode_job(job).dump().size() <= platform.state_value_bytes * 9 / 10;
 }
@@ -42,20 +44,20 @@
 void SubmissionQueue::submit(const runtime::Request& request) {
   auto spec = wire::parse_job(request.body);
   if (!spec) return responder_.reply_error(request.id, 400, spec.error().message());
-  // A retry of an accepted job is answered with its state, whatever else would be said of it.
+  // A retry of an accepted job is answered with its status, even if it would not be accepted now.
   if (replica_.job(spec->id) != nullptr) return polls_.poll(request.id, spec->id);
   if (!replica_.synced || replica_.types.empty()) return responder_.reply_retry(request.id);
   if (const auto reason = rejection_reason(*spec, context_.settings.platform, replica_))
     return reject(request.id, spec->id, *reason);
-  // Controllers of the version before would start a gang's tasks one by one.
+  // Controllers of the previous version would start a gang's tasks one by one.
   if (spec->shape == model::Shape::kGang && !membership::Upgrade::is_complete(replica_))
     return responder_.reply_retry(request.id);
   enqueue(request.id, std::move(*spec));
 }
 
-// Replies 422 to a job that can never run. Another controller may have accepted a job with this id
-// a moment ago that is not known here yet: a retry of that one is answered with its state, however
-// this submission reads.
+// Replies 422 to a job that can never run. Before that the store is read, as another controller may
+// just have accepted a job with this id: then this submission is treated as a retry and answered
+// with the job's status, whatever it contains.
 void SubmissionQueue::reject(uint64_t request, const std::string& id, const std::string& reason) {
   lookup_.read(
       request, id, [this, request, id] { polls_.poll(request, id); },
@@ -103,7 +105,7 @@
   }
 }
 
-// A group goes out at once; the limits decide how large it may be.
+// Returns the largest group that the store's limits allow to be sent now.
 SubmissionQueue::Group SubmissionQueue::next_group() const {
   size_t max_size = std::min(context_.settings.platform.state_txn_ops, submissions_.size());
   while (max_size > 1 && !client_.room_for(static_cast<double>(max_size), 0)) --max_size;
@@ -113,7 +115,8 @@
   for (size_t i = 0; i < max_size; ++i) {
     const Submission& submission = submissions_[i];
     const std::string& id = submission.job.spec.id;
-    if (!ids.insert(id).second) break;  // the same id twice: the second one waits
+    if (!ids.insert(id).second)
+      break;  // a second submission of the same id is left for a later group
     auto value = wire::encode_job(submission.job);
     bytes += value.dump().size() + kPerValueOverheadBytes;
     if (bytes > kMaxTransactionBytes && i > 0) break;
@@ -125,7 +128,7 @@
 }
 
 void SubmissionQueue::handle_result(const std::vector<Submission>& group,
-                             const store::TransactionResult& result) {
+                                    const store::TransactionResult& result) {
   switch (result.outcome) {
     case store::TransactionOutcome::kApplied:
       for (const Submission& submission : group) accept(submission);
@@ -151,7 +154,7 @@
   responder_.reply_accepted(submission.request, spec.id);
 }
 
-// Some ids exist already: those are answered with their state, the others are sent again.
+// Jobs whose ids exist already are answered with their status; the others are queued again.
 void SubmissionQueue::resolve_conflict(const std::vector<Submission>& group,
                                        const std::vector<std::string>& failed_keys) {
   for (const Submission& submission : group) {
@@ -165,8 +168,8 @@
   }
 }
 
-// The outcome is unknown: the job may have been created. One that was not may be sent again, so its
-// user is told to retry; 404 would end it.
+// Reads a job back after a transaction with an unknown outcome, which may have created it. If it
+// was not created, the reply is 503, so that the user retries; after 404 the user would give up.
 void SubmissionQueue::read_back(const Submission& submission) {
   const uint64_t request = submission.request;
   const std::string id = submission.job.spec.id;
--- a/src/rooksill/api/submission_queue.h
+++ b/src/rooksill/api/submission_queue.h
@@ -1,4 +1,4 @@
-// Submitted jobs that wait to be written to the store.
+// Queue of submitted jobs that are to be written to the store.
 #pragma once
 
 #include <cstddef>
@@ -19,21 +19,24 @@
 
 namespace rooksill::api {
 
-// A job is accepted with 201 only once its record is in the store, created under the precondition
-// that its key did not exist. A submission with the id of an existing job is taken for a retry and
-// answered with the job's state.
+// Accepts a job with 201 only after its record is in the store, created under the precondition that
+// its key did not exist. A submission with the id of an existing job is treated as a retry and
+// answered with the job's status.
 class SubmissionQueue {
  public:
   SubmissionQueue(runtime::Context& context, store::Replica& replica, store::Client& client,
                   store::Committer& committer, Responder& responder, JobLookup& lookup,
                   PollQueue& polls);
 
-  // Validates a submission and queues it, or answers it at once.
+  // Validates a submission and queues it, or replies at once if it is a retry or cannot be
+  // accepted.
   void submit(const runtime::Request& request);
-  // Sends the next group if it is due, and answers what has waited too long with 503.
+  // Writes the next group of submissions if it is due, and replies 503 to those queued for more
+  // than kMaxQueueingS.
   void flush();
+  // Returns the number of queued submissions, without those being written.
   size_t size() const { return submissions_.size(); }
-  // The ids of jobs accepted since the last call.
+  // Returns the ids of the jobs accepted since the last call.
   std::vector<std::string> consume_accepted() { return std::exchange(accepted_, {}); }
 
  private:
@@ -42,7 +45,7 @@
     model::Job job;
     double queued_at = 0;  // steady seconds
   };
-  // Submissions that are written with one transaction.
+  // Submissions that are written in one transaction.
   struct Group {
     std::vector<Submission> submissions;
     std::vector<store::Precondition> preconditions;
--- a/src/rooksill/api/transaction_pacer.h
+++ b/src/rooksill/api/transaction_pacer.h
@@ -1,5 +1,4 @@
-// Spaces out the transactions that one kind of users' requests makes, so that together they take no
-// more than their share of the store's rate limit.
+// Rate limiting of the store transactions made for users' requests.
 #pragma once
 
 #include "rooksill/runtime/interval_timer.h"
@@ -7,22 +6,29 @@
 
 namespace rooksill::api {
 
-// How long a request may wait for its transaction before it is answered with 503, in seconds. Below
-// the 2 s that a user waits for the answer to a poll.
+// How long a request may be queued before it is answered with 503, in seconds. Less than the 2 s
+// after which a user's poll times out.
 inline constexpr double kMaxQueueingS = 1.5;
 
+// Spaces out the transactions for one kind of request, so that they use no more than a fixed ratio
+// of the store's rate limit, and limits how many are pending. Times are steady seconds.
 class TransactionPacer {
  public:
-  // `share`: the part of this controller's requests to the store.
+  // `request_ratio`: the ratio of this controller's requests to the store that may be used, 0 to 1.
   TransactionPacer(const PlatformSettings& platform, double request_ratio)
       : interval_s_(platform.controllers / (request_ratio * platform.state_rps)) {}
 
-  // Times are steady seconds.
-  bool may_send(double now) const { return pending_transactions_ < kMaxPendingTransactions && timer_.expired(now); }
+  // Returns whether the interval since the last transaction has passed and not too many are
+  // pending.
+  bool may_send(double now) const {
+    return pending_transactions_ < kMaxPendingTransactions && timer_.expired(now);
+  }
+  // Must be called after each transaction sent.
   void record_sent(double now) {
     timer_.restart(now, interval_s_);
     ++pending_transactions_;
   }
+  // Must be called with the result of each transaction sent.
   void record_finished() { --pending_transactions_; }
 
  private:
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -14,8 +14,8 @@
 constexpr std::string_view kJobPrefix = "/api/jobs/";
 constexpr std::string_view kCancelSuffix = "/cancel";
 
-// Part of a second's writes that is reserved for queued submissions, which come last and would
-// otherwise never be sent.
+// Ratio of this controller's writes per second that is reserved for queued submissions. They have
+// the lowest priority and would be starved otherwise.
 constexpr double kReservedWriteRatio = 0.3;
 }  // namespace
 
@@ -41,7 +41,7 @@
   submissions_.submit(request);
 }
 
-// `path` is what follows the prefix: ID or ID/cancel.
+// `path`: the target after kJobPrefix, either ID or ID/cancel.
 void UserRequests::handle_job(const runtime::Request& request, std::string path) {
   const bool is_cancellation = path.size() > kCancelSuffix.size() && path.ends_with(kCancelSuffix);
   if (is_cancellation) path.resize(path.size() - kCancelSuffix.size());
--- a/src/rooksill/api/user_requests.h
+++ b/src/rooksill/api/user_requests.h
@@ -18,21 +18,23 @@
 
 namespace rooksill::api {
 
-// Every request is answered exactly once, within about kMaxQueueingS and a call to the store.
+// Handles users' requests. Each one is answered exactly once, within about kMaxQueueingS plus the
+// time of a call to the store.
 class UserRequests {
  public:
   UserRequests(runtime::Context& context, store::Replica& replica, store::Client& client,
                store::Committer& committer);
 
-  // Answers a request, or queues it.
+  // Answers a request or queues it.
   void handle(const runtime::Request& request);
-  // Sends what is queued. Comes after the changes of task states, which have priority in the
-  // store's rate limit.
+  // Sends queued submissions and polls to the store. Must be called after task state changes are
+  // written, which have priority in the store's rate limit.
   void flush();
 
+  // Return the lengths of the queues.
   size_t queued_submission_count() const { return submissions_.size(); }
   size_t queued_poll_count() const { return polls_.size(); }
-  // The ids of jobs accepted since the last call.
+  // Returns the ids of the jobs accepted since the last call.
   std::vector<std::string> consume_accepted() { return submissions_.consume_accepted(); }
 
  private:
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -17,6 +17,7 @@
 constexpr size_t kMaxKeptCancellations = 4096;
 constexpr size_t kMaxCancellationsPerMessage = 500;
 constexpr size_t kMaxCountSamples = 32;
+// In worker heartbeat intervals (PlatformSettings::report_s).
 constexpr double kResendIntervalHeartbeats = 0.3;  // until unacknowledged ones are resent
 // Heartbeats of an older version lack the field `sent_at`, whose default is far earlier than this.
 constexpr double kMinSentAtS = -1;
@@ -42,7 +43,8 @@
   uint64_t first_needed = first_kept_ + kept_jobs_.size();
   for (const auto& label : peers_.labels())
     first_needed = std::min(first_needed, progress_of(label).acknowledged_up_to + 1);
-  while (!kept_jobs_.empty() && (first_kept_ < first_needed || kept_jobs_.size() > kMaxKeptCancellations)) {
+  while (!kept_jobs_.empty() &&
+         (first_kept_ < first_needed || kept_jobs_.size() > kMaxKeptCancellations)) {
     kept_jobs_.pop_front();
     ++first_kept_;
   }
@@ -53,8 +55,9 @@
     PeerProgress& progress = progress_of(label);
     if (progress.acknowledged_up_to >= learned_count() || !peers_.is_reachable(label)) continue;
     const bool should_resend = context_.now.steady >= progress.next_resend_at;
-    const uint64_t skipped_up_to =
-        should_resend ? progress.acknowledged_up_to : std::max(progress.sent_up_to, progress.acknowledged_up_to);
+    const uint64_t skipped_up_to = should_resend
+                                       ? progress.acknowledged_up_to
+                                       : std::max(progress.sent_up_to, progress.acknowledged_up_to);
     const uint64_t first = std::max(skipped_up_to + 1, first_kept_);
     if (first <= learned_count()) send_from(first, label, progress);
   }
@@ -62,12 +65,14 @@
 
 void Cancellations::send_from(uint64_t first, const std::string& label, PeerProgress& progress) {
   const auto begin = kept_jobs_.begin() + static_cast<std::ptrdiff_t>(first - first_kept_);
-  const size_t count = std::min(kMaxCancellationsPerMessage, static_cast<size_t>(kept_jobs_.end() - begin));
+  const size_t count =
+      std::min(kMaxCancellationsPerMessage, static_cast<size_t>(kept_jobs_.end() - begin));
   wire::Cancelled message;
   message.first = first;
   message.jobs.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
   progress.sent_up_to = first + count - 1;
-  progress.next_resend_at = context_.now.steady + kResendIntervalHeartbeats * context_.settings.platform.report_s;
+  progress.next_resend_at =
+      context_.now.steady + kResendIntervalHeartbeats * context_.settings.platform.report_s;
   peers_.send(label, wire::PeerKind::kCancelled, wire::pack(message));
 }
 
@@ -88,7 +93,8 @@
     if (wire::valid_job_id(job)) replica_.record_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
   const bool without_gap = message.first <= progress.received_up_to + 1;
-  if (!message.jobs.empty() && without_gap) progress.received_up_to = std::max(progress.received_up_to, last);
+  if (!message.jobs.empty() && without_gap)
+    progress.received_up_to = std::max(progress.received_up_to, last);
 }
 
 void Cancellations::receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat) {
@@ -115,8 +121,10 @@
 // Counts received before the last synchronization with the store are covered by it: the peer had
 // learned those cancellations from the store, so the replica has them too.
 void Cancellations::apply_store_sync(PeerProgress& progress) const {
-  while (!progress.count_samples.empty() && progress.count_samples.front().received_at < replica_.synced_at) {
-    progress.received_up_to = std::max(progress.received_up_to, progress.count_samples.front().count);
+  while (!progress.count_samples.empty() &&
+         progress.count_samples.front().received_at < replica_.synced_at) {
+    progress.received_up_to =
+        std::max(progress.received_up_to, progress.count_samples.front().count);
     progress.count_samples.pop_front();
   }
 }
@@ -125,7 +133,7 @@
 // minutes. The heartbeat was sent later than the heartbeat of ours that it acknowledges, whose time
 // is known by our clock, so that time is used.
 void Cancellations::process_ack(const std::string& label, const wire::CancellationAck& ack,
-                            uint64_t announced_count, PeerProgress& progress) {
+                                uint64_t announced_count, PeerProgress& progress) {
   progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancelled);
   // Cancellations confirmed by an earlier process of this peer are known only if the replica was
   // synchronized after that process had ended, that is, since its successor is ready.
@@ -140,8 +148,8 @@
   double confirmed_by_all = context_.now.steady;
   for (const auto& label : peers_.labels()) {
     auto confirmed = confirmed_until_.find(label);
-    confirmed_by_all =
-        std::min(confirmed_by_all, confirmed == confirmed_until_.end() ? kNever : confirmed->second);
+    confirmed_by_all = std::min(confirmed_by_all,
+                                confirmed == confirmed_until_.end() ? kNever : confirmed->second);
   }
   return std::max(confirmed_by_all, replica_.synced_at);
 }
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -35,8 +35,8 @@
 
   // Records a peer's cancellations in the replica. `label` is the sender's.
   void receive(const std::string& label, const wire::Cancelled& message);
-  // Processes the number of cancellations and the acknowledgements in a peer's heartbeat. `label` is
-  // the sender's.
+  // Processes the number of cancellations and the acknowledgements in a peer's heartbeat. `label`
+  // is the sender's.
   void receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
 
   // Returns the time before which the replica is complete: it has every cancellation that any
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-constexpr double kLivenessIntervalHeartbeats = 0.4;   // between two liveness records
-constexpr double kLivenessTimeoutIntervals = 2.5;  // for which a liveness record counts
+// In worker heartbeat intervals (PlatformSettings::report_s).
+constexpr double kLivenessIntervalHeartbeats = 0.4;  // between two liveness records
+constexpr double kLivenessTimeoutIntervals = 2.5;    // for which a liveness record counts
 // A peer was in contact recently if that was within this many worker lease times.
 constexpr double kRecentContactLeases = 2;
 // Fractions of the unreachable timeout after which a liveness record is written for a peer without
@@ -88,7 +89,8 @@
   if (found == peers_.end()) return;
   Peer& peer = found->second;
   peer.last_received_at =
-      std::min(peer.last_received_at, context_.now.steady - unreachable_timeout_s() / kLostConnectionTimeoutDivisor);
+      std::min(peer.last_received_at,
+               context_.now.steady - unreachable_timeout_s() / kLostConnectionTimeoutDivisor);
 }
 
 void Peers::extend_timeouts(double pause_s) {
@@ -137,13 +139,19 @@
   bool is_due = false;
   for (const auto& [label, peer] : peers_) {
     const double since_message_s = context_.now.steady - peer.last_received_at;
-    const double since_contact_s = std::min(since_message_s, context_.now.steady - peer.liveness_record_seen_at);
-    const bool is_recent = since_contact_s < kRecentContactLeases * context_.settings.platform.lease_s;
+    const double since_contact_s =
+        std::min(since_message_s, context_.now.steady - peer.liveness_record_seen_at);
+    const bool is_recent =
+        since_contact_s < kRecentContactLeases * context_.settings.platform.lease_s;
     const bool is_needed = is_liveness_record_needed(label, peer, replica);
-    is_due = is_due || is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kFirstRecipientTimeoutDivisor);
+    is_due =
+        is_due || is_needed ||
+        (is_recent && since_message_s > unreachable_timeout_s() / kFirstRecipientTimeoutDivisor);
     // If one peer is becoming unreachable, others that missed a heartbeat probably are too, so one
     // record is written for all of them.
-    if (is_needed || (is_recent && since_message_s > unreachable_timeout_s() / kOtherRecipientsTimeoutDivisor)) recipients.push_back(label);
+    if (is_needed ||
+        (is_recent && since_message_s > unreachable_timeout_s() / kOtherRecipientsTimeoutDivisor))
+      recipients.push_back(label);
   }
   if (!is_due) recipients.clear();
   return recipients;
@@ -151,14 +159,15 @@
 
 // A recent record of the peer that is addressed to us shows that messages fail in one direction.
 bool Peers::is_liveness_record_needed(const std::string& label, const Peer& peer,
-                                     const store::Replica& replica) const {
+                                      const store::Replica& replica) const {
   auto record = replica.liveness_records.find(label);
   return has_recent_liveness_record(peer) && record != replica.liveness_records.end() &&
          is_addressed_to_self(record->second);
 }
 
 bool Peers::has_recent_liveness_record(const Peer& peer) const {
-  return context_.now.steady - peer.liveness_record_seen_at < kLivenessTimeoutIntervals * liveness_record_interval_s();
+  return context_.now.steady - peer.liveness_record_seen_at <
+         kLivenessTimeoutIntervals * liveness_record_interval_s();
 }
 
 bool Peers::is_addressed_to_self(const model::LivenessRecord& record) const {
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -13,6 +13,7 @@
 namespace rooksill::membership {
 
 namespace {
+// In worker heartbeat intervals (PlatformSettings::report_s).
 constexpr double kRetryIntervalHeartbeats = 0.1;  // between two attempts to write
 }  // namespace
 
@@ -36,8 +37,9 @@
 }
 
 bool Upgrade::is_running_older_version(const store::Replica& replica, const std::string& label,
-                                 const Peer& peer) {
-  if (!is_complete(replica) || !peer.heartbeat.ready || peer.envelope_version >= model::kPresentVersion)
+                                       const Peer& peer) {
+  if (!is_complete(replica) || !peer.heartbeat.ready ||
+      peer.envelope_version >= model::kPresentVersion)
     return false;
   auto record = replica.versions.find(label);
   return record == replica.versions.end() || record->second.incarnation != peer.incarnation;
@@ -53,9 +55,9 @@
   commit({{key, recorded_version(label).revision}}, {key, wire::encode_version(record), 0});
 }
 
-// A record from an earlier process of the controller does not show the version of a process that was
-// started later, possibly with the old version. A peer with a later incarnation than its record has
-// to write its own record first.
+// A record from an earlier process of the controller does not show the version of a process that
+// was started later, possibly with the old version. A peer with a later incarnation than its record
+// has to write its own record first.
 bool Upgrade::has_present_version(const std::string& label) const {
   const model::VersionRecord record = recorded_version(label);
   if (record.version < model::kPresentVersion) return false;
@@ -67,26 +69,29 @@
 // upgrade record is written only if none of them has changed since the decision.
 void Upgrade::write_upgrade_record() {
   const auto labels = context_.settings.platform.labels();
-  const bool all_upgraded = std::all_of(labels.begin(), labels.end(),
-                               [this](const auto& label) { return has_present_version(label); });
+  const bool all_upgraded = std::all_of(labels.begin(), labels.end(), [this](const auto& label) {
+    return has_present_version(label);
+  });
   if (!all_upgraded) return;
   std::vector<store::Precondition> preconditions{{wire::kLeaderKey, replica_.leader.revision},
                                                  {wire::kUpgradeKey, model::kNoRevision}};
   for (const auto& label : labels)
     preconditions.push_back({wire::version_key(label), recorded_version(label).revision});
-  context_.info("upgrade", "all {} controllers have recorded version {}; writing the upgrade record", labels.size(),
-                model::kPresentVersion);
+  context_.info("upgrade",
+                "all {} controllers have recorded version {}; writing the upgrade record",
+                labels.size(), model::kPresentVersion);
   const model::UpgradeRecord record{model::kNoRevision, model::kPresentVersion};
   commit(preconditions, {wire::kUpgradeKey, wire::encode_upgrade(record), 0});
 }
 
 void Upgrade::commit(const std::vector<store::Precondition>& preconditions, store::Write write) {
-  next_attempt_at_ = context_.now.steady + kRetryIntervalHeartbeats * context_.settings.platform.report_s;
+  next_attempt_at_ =
+      context_.now.steady + kRetryIntervalHeartbeats * context_.settings.platform.report_s;
   const std::string key = write.key;
   is_write_pending_ = committer_.commit(
       preconditions, {std::move(write)}, [this, key](const store::TransactionResult& result) {
         const bool should_read_back = result.outcome == store::TransactionOutcome::kConflict ||
-                               result.outcome == store::TransactionOutcome::kUnknown;
+                                      result.outcome == store::TransactionOutcome::kUnknown;
         if (should_read_back)
           committer_.refresh({key}, [this] { is_write_pending_ = false; });
         else
--- a/src/rooksill/membership/upgrade.h
+++ b/src/rooksill/membership/upgrade.h
@@ -41,7 +41,7 @@
   // incarnation is never counted as older: it may still send old envelopes because it has not
   // learned yet that the upgrade is complete.
   static bool is_running_older_version(const store::Replica& replica, const std::string& label,
-                                 const Peer& peer);
+                                       const Peer& peer);
 
  private:
   // Returns the controller's version record, or one with version 0 if the store has none.
--- a/src/rooksill/runtime/commands.h
+++ b/src/rooksill/runtime/commands.h
@@ -1,5 +1,5 @@
-// Commands: everything that reaches the controller's core from outside. The event loop, or the
-// simulation in its place, gathers them into batches and hands each batch over with the time.
+// Commands: the inputs of the controller's core. The event loop, or the simulation in its place,
+// collects them into batches and passes each batch to the core together with the current time.
 #pragma once
 
 #include <cstdint>
@@ -8,44 +8,46 @@
 
 namespace rooksill::runtime {
 
-// An HTTP request from a user, a worker or a health check. It is answered by a Reply with its id.
+// An HTTP request from a user, a worker or a health check. The core answers it by a Reply with the
+// same id.
 struct Request {
-  uint64_t id = 0;
+  uint64_t id = 0;  // unique in this process
   std::string method;
   std::string target;  // path, with a query if there is one
   std::string body;
 };
 
-// The outcome of a Call.
+// The result of a Call.
 struct CallDone {
-  uint64_t id = 0;
-  int status = 0;  // HTTP status; 0: no answer in time, or the connection failed
+  uint64_t id = 0;  // of the Call
+  int status = 0;   // HTTP status; 0: no response within the timeout, or the connection failed
   std::string body;
-  bool connection_refused = false;  // the connection was never made, so nothing was sent
+  bool connection_refused = false;  // no connection was established, so nothing was sent
 };
 
-// One framed message from another controller: a packed wire::Envelope.
+// One message from another controller, without its framing.
 struct PeerMessage {
-  std::string bytes;
+  std::string bytes;  // a packed wire::Envelope
 };
 
-// The connection to another controller ended or was refused.
+// A connection to another controller ended or was refused.
 struct PeerDisconnected {
-  std::string label;
+  std::string label;  // of the other controller
 };
 
-// The time has moved on and nothing else has happened.
+// Starts a batch at regular intervals, so that timeouts are checked without other commands.
 struct Tick {};
 
+// One input of the core.
 using Command = std::variant<Request, CallDone, PeerMessage, PeerDisconnected, Tick>;
 
-// The two clocks of this process, read once for each batch.
+// The clocks of this process, read once per batch.
 struct Time {
-  // Seconds by the monotonic clock, which never goes back. All timeouts, intervals and leases are
-  // reckoned by it. Its zero is arbitrary: its values mean nothing to another process.
+  // Seconds of the monotonic clock. All timeouts, intervals and leases are measured by it. Its
+  // epoch is arbitrary, so values of different processes cannot be compared.
   double steady = 0;
-  // Seconds since the Unix epoch, off by at most `PlatformSettings::clock_error_s`. Only for what
-  // is stored or shared: times of submission, rental and termination.
+  // Seconds since the Unix epoch, with an error of at most `PlatformSettings::clock_error_s`. Only
+  // for times that are stored or shared: of submission, rental and termination.
   double wall = 0;
 };
 
--- a/src/rooksill/runtime/counters.h
+++ b/src/rooksill/runtime/counters.h
@@ -1,4 +1,4 @@
-// Named counters of what the controller did, for the periodic line in the log.
+// Named event counters for the controller's periodic log line.
 #pragma once
 
 #include <map>
@@ -7,11 +7,13 @@
 
 namespace rooksill::runtime {
 
+// Sums amounts by name. A counter exists from the first time that it is added to.
 class Counters {
  public:
+  // Adds to a counter.
   void add(const char* name, double amount) { values_[name] += amount; }
 
-  // The values since the last call, by name.
+  // Returns the sums since the last call, by name, and resets them.
   std::map<std::string, double> consume() { return std::exchange(values_, {}); }
 
  private:
--- a/src/rooksill/runtime/effects.h
+++ b/src/rooksill/runtime/effects.h
@@ -1,5 +1,5 @@
-// Effects: everything that the controller's core wants done outside. The core itself does no I/O;
-// the event loop, or the simulation in its place, carries them out after each batch.
+// Effects: the outputs of the controller's core. The core does no I/O itself; the event loop, or
+// the simulation in its place, executes its effects after each batch.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,13 @@
 
 namespace rooksill::runtime {
 
-// Who is called. The HTTP client keeps sockets for the first two when workers take up the rest.
+// The kind of server that is called. Calls to the store and the cloud are not subject to the limit
+// on connections, so that calls to workers cannot block them.
 enum class Target { kStore, kCloud, kWorker };
 
-// An HTTP call. Its outcome comes back as a CallDone with the same id.
+// An HTTP call. Its result is returned to the core as a CallDone with the same id.
 struct Call {
-  uint64_t id = 0;
+  uint64_t id = 0;  // unique in this process
   Target target = Target::kStore;
   std::string address;  // host:port
   std::string method;
@@ -24,26 +25,27 @@
 
 // The answer to a Request.
 struct Reply {
-  uint64_t request = 0;
-  int status = 200;
+  uint64_t request = 0;      // the Request's id
+  int status = 200;          // HTTP status
   std::string body;          // JSON
   double retry_after_s = 0;  // for the Retry-After header; 0: no such header
 };
 
 // A message to another controller. It may be lost.
 struct PeerSend {
-  std::string label;
+  std::string label;  // of the receiver
   std::string bytes;  // a packed wire::Envelope
 };
 
+// One line for the controller's log.
 struct LogLine {
   enum class Level { kError, kInfo, kDebug };
   Level level = Level::kInfo;
-  std::string component;
+  std::string component;  // the part of the controller that logs it
   std::string text;
 };
 
-// What one batch of commands led to, each kind in the order in which it was decided.
+// The effects of one batch of commands, each kind in the order in which the core produced them.
 struct Effects {
   std::vector<Call> calls;
   std::vector<Reply> replies;
--- a/src/rooksill/runtime/pending_calls.h
+++ b/src/rooksill/runtime/pending_calls.h
@@ -1,4 +1,4 @@
-// Calls that were made and whose outcome is still to come.
+// Outgoing calls whose results are pending.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,27 @@
 
 namespace rooksill::runtime {
 
+// Handles the result of a call.
 using CallHandler = std::function<void(const CallDone&)>;
 
+// Maps the ids of pending calls to their handlers.
 class PendingCalls {
  public:
   // Registers a call made at `now` (steady seconds) and returns its id.
   uint64_t add(double now, double timeout_s, CallHandler handler) {
     const uint64_t id = next_id_++;
-    pending_.emplace(id, PendingCall{std::move(handler), now + timeout_s + kLateResponseToleranceS});
+    pending_.emplace(id,
+                     PendingCall{std::move(handler), now + timeout_s + kLateResponseToleranceS});
     return id;
   }
 
-  // Runs the call's handler with its outcome; an outcome of an unknown call is dropped. An answer
-  // that arrives too late counts as none: after this process stood still, an answer that waited
-  // longer than its timeout says what was true then and nothing about now.
+  // Runs the call's handler with its result; the result of an unknown call is dropped. A response
+  // that is processed long after its timeout is passed on as no response (status 0): after a pause
+  // of this process, a response that was received before or during the pause may be stale.
   void finish(double now, const CallDone& done) {
     auto it = pending_.find(done.id);
     if (it == pending_.end()) return;
-    // The handler may make further calls, so the entry goes first.
+    // The handler may add calls, so the entry is removed before it runs.
     PendingCall call = std::move(it->second);
     pending_.erase(it);
     if (now > call.deadline) return call.handler({done.id, 0, "", false});
@@ -40,7 +43,7 @@
     double deadline = 0;  // steady seconds
   };
 
-  // By how much an answer may exceed its timeout and still count, in seconds.
+  // How long after its timeout a response is still accepted, in seconds.
   static constexpr double kLateResponseToleranceS = 0.5;
 
   uint64_t next_id_ = 1;
