--- a/src/rooksill/api/job_lookup.h
+++ b/src/rooksill/api/job_lookup.h
@@ -16,6 +16,7 @@
 // or gets no response, the request is answered with 503.
 class JobLookup {
  public:
+  // Continues a request after its read.
   using Handler = std::function<void()>;
 
   JobLookup(store::Replica& replica, store::Client& client, Responder& responder)
--- a/src/rooksill/api/user_requests.h
+++ b/src/rooksill/api/user_requests.h
@@ -31,8 +31,9 @@
   // written, which have priority in the store's rate limit.
   void flush();
 
-  // Return the lengths of the queues.
+  // Returns the number of submissions waiting to be written.
   size_t queued_submission_count() const { return submissions_.size(); }
+  // Returns the number of polls waiting to be checked.
   size_t queued_poll_count() const { return polls_.size(); }
   // Returns the ids of the jobs accepted since the last call.
   std::vector<std::string> consume_accepted() { return submissions_.consume_accepted(); }
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -12,8 +12,8 @@
 namespace {
 // Limit on the cancellations kept for peers that have not acknowledged them, independent of the
 // number of machines and jobs. A peer that misses older ones acknowledges them only after it has
-// synchronized with the store, and counts as behind until then. The limit therefore delays
-// acknowledgements in an outage but loses no cancellation.
+// synchronized with the store, and is not relied on before. The limit can therefore delay progress
+// in an outage but loses no cancellation.
 constexpr size_t kMaxKeptCancellations = 4096;
 constexpr size_t kMaxCancellationsPerMessage = 500;
 constexpr size_t kMaxCountSamples = 32;
@@ -118,8 +118,8 @@
     progress.count_samples.push_back(sample);
 }
 
-// Counts received before the last synchronization with the store are covered by it: the peer had
-// learned those cancellations from the store, so the replica has them too.
+// Cancellations that a peer announced before the replica was last synchronized were in the store by
+// then, so the replica has them.
 void Cancellations::apply_store_sync(PeerProgress& progress) const {
   while (!progress.count_samples.empty() &&
          progress.count_samples.front().received_at < replica_.synced_at) {
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -12,11 +12,11 @@
 constexpr double kLivenessTimeoutIntervals = 2.5;    // for which a liveness record counts
 // A peer was in contact recently if that was within this many worker lease times.
 constexpr double kRecentContactLeases = 2;
-// Fractions of the unreachable timeout after which a liveness record is written for a peer without
-// messages. The first recipient has to be without messages for longer than the others.
+// Divisors of the unreachable timeout: after the quotient a liveness record is written for a peer
+// without messages. The first recipient has to be without messages for longer than the others.
 constexpr double kFirstRecipientTimeoutDivisor = 3;
 constexpr double kOtherRecipientsTimeoutDivisor = 5;
-// Fraction of the unreachable timeout that remains for a peer whose connection ended.
+// Divisor of the unreachable timeout: the quotient remains for a peer whose connection ended.
 constexpr double kLostConnectionTimeoutDivisor = 2;
 
 // Discards the state of the peer's earlier process.
@@ -44,8 +44,7 @@
   for (const auto& [label, peer] : peers_) labels_.push_back(label);
 }
 
-// ---- messages
-// --------------------------------------------------------------------------------------
+// ---- Messages ----------------------------------------------------------------------------------
 
 std::optional<wire::Envelope> Peers::receive(const std::string& bytes) {
   auto unpacked = wire::unpack<wire::Envelope>(bytes);
@@ -97,8 +96,7 @@
   for (auto& [label, peer] : peers_) peer.last_received_at += pause_s;
 }
 
-// ---- liveness records
-// ------------------------------------------------------------------------------
+// ---- Liveness records --------------------------------------------------------------------------
 
 double Peers::liveness_record_interval_s() const {
   return kLivenessIntervalHeartbeats * context_.settings.platform.report_s;
@@ -157,7 +155,7 @@
   return recipients;
 }
 
-// A recent record of the peer that is addressed to us shows that messages fail in one direction.
+// The peer's recent liveness record is addressed to us: messages to it or from it do not arrive.
 bool Peers::is_liveness_record_needed(const std::string& label, const Peer& peer,
                                       const store::Replica& replica) const {
   auto record = replica.liveness_records.find(label);
@@ -175,8 +173,7 @@
   return std::find(labels.begin(), labels.end(), context_.settings.platform.label) != labels.end();
 }
 
-// ---- failure detection
-// ------------------------------------------------------------------------------
+// ---- Failure detection -------------------------------------------------------------------------
 
 const Peer* Peers::find(const std::string& label) const {
   auto found = peers_.find(label);
