--- a/src/rooksill/agent/command_sender.cc
+++ b/src/rooksill/agent/command_sender.cc
@@ -63,7 +63,8 @@
 
 bool CommandSender::can_send_to(const Worker& worker) const {
   return !worker.address.empty() && context_.now.steady >= worker.next_command_at &&
-         commands_in_flight_ < runtime::kCommandSockets * context_.settings.platform.max_sockets;
+         commands_in_flight_ <
+             runtime::kCommandSocketRatio * context_.settings.platform.max_sockets;
 }
 
 // After this process was suspended, or after a long time without the store, the replica may be
@@ -108,7 +109,7 @@
   if (is_acknowledged && heartbeat && heartbeat->machine == command.machine)
     on_acknowledged(*worker, done.status, *heartbeat);
   else
-    on_not_acknowledged(*worker, command, done.refused);
+    on_not_acknowledged(*worker, command, done.connection_refused);
 }
 
 void CommandSender::on_acknowledged(Worker& worker, int status,
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -113,7 +113,8 @@
   if (context_.now.steady < worker.probe.next_probe_at) return;
   // After a network outage or a suspension of this process, hundreds of workers may be due at once.
   // The limit on sockets spreads their probes over time.
-  if (probes_in_flight_ >= runtime::kProbeSockets * context_.settings.platform.max_sockets) return;
+  if (probes_in_flight_ >= runtime::kProbeSocketRatio * context_.settings.platform.max_sockets)
+    return;
   send_probe(worker);
 }
 
--- a/src/rooksill/agent/renewal_permit.cc
+++ b/src/rooksill/agent/renewal_permit.cc
@@ -9,7 +9,7 @@
 
 bool RenewalPermit::is_granted() const {
   const auto& platform = context_.settings.platform;
-  const double staleness_s = context_.now.steady - cancellations_.known_at();
+  const double staleness_s = context_.now.steady - cancellations_.complete_until();
   return staleness_s < kUsableRatio * (platform.cancel_s - platform.lease_s);
 }
 
--- a/src/rooksill/api/job_validator.cc
+++ b/src/rooksill/api/job_validator.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-bool runs_gangs(const PlatformSettings& platform) {
+bool supports_gangs(const PlatformSettings& platform) {
   return platform.gang_wait_s > 0 && platform.gang_peer_s > 0;
 }
 
 bool exceeds_quota(const model::JobSpec& spec, const TeamQuota& quota) {
-  // An array runs with as little as one task at a time; all others need all of their tasks at once.
+  // The tasks of an array may run one at a time; other jobs need all of their tasks at once.
   const double tasks_at_once = spec.shape == model::Shape::kArray ? 1 : spec.tasks;
   return (quota.cpus_max > 0 && spec.request.cpus * tasks_at_once > quota.cpus_max) ||
          (quota.gpus_max > 0 && spec.request.gpus * tasks_at_once > quota.gpus_max);
@@ -30,14 +30,15 @@
 
 }  // namespace
 
-std::optional<std::string> reason_to_reject(const model::JobSpec& spec,
+std::optional<std::string> rejection_reason(const model::JobSpec& spec,
                                             const PlatformSettings& platform,
                                             const store::Replica& replica) {
   const auto quota = platform.teams.find(spec.team);
   if (quota == platform.teams.end()) return "unknown team";
   if (spec.shape == model::Shape::kGang) {
-    if (!runs_gangs(platform)) return "workers here run no gangs";
-    // All tasks of an attempt are placed with one change of one value.
+    if (!supports_gangs(platform)) return "workers here run no gangs";
+    // All tasks of a gang's attempt are placed by one change of one store value, so they have to
+    // fit one shard.
     if (spec.tasks > replica.tasks_per_shard()) return "more tasks than can be started at once";
   }
   if (exceeds_quota(spec, quota->second)) return "more than the team's limit";
--- a/src/rooksill/controller/load_log.cc
+++ b/src/rooksill/controller/load_log.cc
@@ -17,13 +17,14 @@
 
 void LoadLog::write(double period_s) {
   std::string rates;
-  for (const auto& [name, value] : context_.take_counters())
+  for (const auto& [name, value] : context_.consume_counters())
     rates += fmt::format(" {} {:.1f}", name, value / period_s);
   context_.info("load",
                 "per second:{}; queued: {} changes, {} submissions, {} polls; {} jobs with "
                 "unplaced tasks; {}",
-                rates, owner_.pending_shard_writes(), user_requests_.submissions(),
-                user_requests_.polls(), replica_.pending_jobs.size(), owner_.machine_summary());
+                rates, owner_.pending_shard_writes(), user_requests_.queued_submission_count(),
+                user_requests_.queued_poll_count(), replica_.pending_jobs.size(),
+                owner_.machine_summary());
 }
 
 }  // namespace rooksill::controller
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -113,7 +113,7 @@
   for (const auto& name : pending_removals_)
     if (const model::Machine* machine = replica_.machine(name))
       changed.insert({machine->partition, machine->page});
-  if (!membership::Upgrade::complete(replica_)) return changed;
+  if (!membership::Upgrade::is_complete(replica_)) return changed;
   // Pages written under a higher limit are split as soon as every controller supports splits: once
   // the lower limit is in force, the store rejects any other change to them.
   for (size_t partition = 0; partition < replica_.pages.size(); ++partition) {
@@ -162,7 +162,7 @@
       {key, exists ? pages[static_cast<size_t>(id.page)].revision : model::kNoRevision}};
   // The new pages are written first, so that a controller that applies the changes in order never
   // sees a machine missing.
-  if (membership::Upgrade::complete(replica_)) split_page(machines, transaction);
+  if (membership::Upgrade::is_complete(replica_)) split_page(machines, transaction);
   transaction.writes.push_back({key, wire::encode_machines(machines), 0});
   return transaction;
 }
--- a/src/rooksill/leader/election.cc
+++ b/src/rooksill/leader/election.cc
@@ -50,7 +50,7 @@
 }
 
 bool Election::is_leader_unreachable() const {
-  return !is_leading() && !peers_.leader_heard_within(peers_.silence() / 2);
+  return !is_leading() && !peers_.has_leader_message_within(peers_.unreachable_timeout_s() / 2);
 }
 
 void Election::tick() {
@@ -66,11 +66,11 @@
   const double now = context_.now.steady;
   if (now >= lease_valid_until_ || !holds_leader_key())
     return resign("its lease expired or another process holds the leader key");
-  if (peers_.last_heard_any() > term_started_at_) has_received_from_peer_ = true;
+  if (peers_.last_contact_at() > term_started_at_) has_received_from_peer_ = true;
   // A leader that receives no messages may be isolated from the other controllers while its lease
   // is still valid, and the others cannot detect that.
   if (has_received_from_peer_ &&
-      now - peers_.last_heard_any() > kIsolationPeerTimeouts * peers_.silence()) {
+      now - peers_.last_contact_at() > kIsolationPeerTimeouts * peers_.unreachable_timeout_s()) {
     has_received_from_peer_ = false;
     return resign("all other controllers are unreachable");
   }
@@ -97,7 +97,7 @@
   // An isolated controller waits for one TTL, so that controllers that can reach each other elect a
   // leader first.
   const bool is_isolated =
-      !peers_.labels().empty() && now - peers_.last_heard_any() > peers_.silence();
+      !peers_.labels().empty() && now - peers_.last_contact_at() > peers_.unreachable_timeout_s();
   if (is_isolated && now - vacant_since_ < ttl_s) return;
   if (state_ == State::kFollower && now >= next_campaign_at_) campaign();
 }
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -73,7 +73,7 @@
   // lies with the machines rather than the controllers: every live controller is a candidate.
   if (candidates.labels.empty())
     for (const auto& label : labels)
-      if (is_self(label) || peers_.alive(label)) candidates.labels.push_back(label);
+      if (is_self(label) || peers_.is_alive(label)) candidates.labels.push_back(label);
   for (const auto& label : candidates.labels) candidates.partition_counts[label] = 0;
   for (const auto& partition_lease : replica_.leases)
     ++candidates.partition_counts[partition_lease.owner];
@@ -96,11 +96,11 @@
 // Returns why the controller may not own partitions; empty if it may.
 std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
   if (is_self(label)) return owner_.suspects_own_isolation() ? "it suspects itself" : "";
-  if (!peers_.alive(label)) return "it is not alive";
+  if (!peers_.is_alive(label)) return "it is not alive";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
   if (!heartbeat.ready) return "its replica is not loaded";
-  if (membership::Upgrade::runs_older_version(replica_, label, peer))
+  if (membership::Upgrade::is_running_older_version(replica_, label, peer))
     return "it runs an older version";
   if (!heartbeat.store_ok) return "it cannot reach the store";
   if (heartbeat.suspects_itself) return "it suspects itself";
@@ -148,7 +148,7 @@
   for (const auto& label : candidates.labels) {
     const membership::Peer* peer = peers_.find(label);
     const double reachable_since =
-        peer != nullptr ? peer->first_heard : election_.term_started_at();
+        peer != nullptr ? peer->alive_since : election_.term_started_at();
     if (counts.at(label) > counts.at(most_loaded)) most_loaded = label;
     if (context_.now.steady - reachable_since > settle_s &&
         (receiver.empty() || counts.at(label) < counts.at(receiver)))
@@ -217,7 +217,7 @@
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const std::string& owner = replica_.leases[i].owner;
     const int partition = static_cast<int>(i);
-    const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.alive(owner));
+    const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.is_alive(owner));
     auto reassigned = reassigned_from_suspect_at_.find(partition);
     const bool is_replacement_trusted = reassigned != reassigned_from_suspect_at_.end() &&
                                         context_.now.steady - reassigned->second < trust_s;
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -49,7 +49,7 @@
 std::vector<wire::QuotaUse> Router::reported_quota_use() const {
   std::vector<wire::QuotaUse> use = owner_.quota_usage();
   for (const auto& label : peers_.labels()) {
-    if (!peers_.heard(label)) continue;
+    if (!peers_.is_reachable(label)) continue;
     for (const auto& reported : peers_.find(label)->heartbeat.quota_use)
       if (is_owned_by(reported.partition, label)) use.push_back(reported);
   }
@@ -93,7 +93,7 @@
 bool Router::has_unreachable_owner() const {
   return std::any_of(replica_.leases.begin(), replica_.leases.end(), [&](const auto& lease) {
     return !lease.owner.empty() && lease.owner != context_.settings.platform.label &&
-           !peers_.heard(lease.owner);
+           !peers_.is_reachable(lease.owner);
   });
 }
 
@@ -169,7 +169,7 @@
   std::vector<bool> reachable;
   for (const auto& lease : replica_.leases)
     reachable.push_back(lease.owner == context_.settings.platform.label ||
-                        peers_.heard(lease.owner));
+                        peers_.is_reachable(lease.owner));
   return reachable;
 }
 
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -86,7 +86,7 @@
 TransactionResult Client::transaction_result(const runtime::CallDone& response) {
   if (response.status == 0) {
     TransactionResult result;
-    if (response.refused) result.outcome = TransactionOutcome::kRefused;
+    if (response.connection_refused) result.outcome = TransactionOutcome::kRefused;
     return result;
   }
   // Other controllers have exceeded their share or the store is overloaded: back off.
