--- a/src/main.cc
+++ b/src/main.cc
@@ -31,10 +31,10 @@
 
 rooksill::Settings read_settings(const Options& options) {
   rooksill::Settings settings;
-  settings.platform = rooksill::parse_platform(rooksill::read_file(options.config_file));
+  settings.platform = rooksill::parse_platform_settings(rooksill::read_file(options.config_file));
   if (!options.operator_settings_file.empty())
     settings.operators =
-        rooksill::parse_operators(rooksill::read_file(options.operator_settings_file));
+        rooksill::parse_operator_settings(rooksill::read_file(options.operator_settings_file));
   return settings;
 }
 
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -83,7 +83,7 @@
 }
 
 double FailureDetector::silence_limit() const {
-  return context_.settings.operators.machine_silence_reports * context_.settings.platform.report_s;
+  return context_.settings.operators.machine_timeout_reports * context_.settings.platform.report_s;
 }
 
 void FailureDetector::record_contact(Worker& worker) {
@@ -145,7 +145,7 @@
 
 std::vector<std::string> FailureDetector::silent_machines() const {
   std::vector<std::string> out;
-  const size_t most = context_.settings.platform.state_value_bytes / model::kItemBytes / 2;
+  const size_t most = context_.settings.platform.store_max_value_bytes / model::kItemBytes / 2;
   for (const auto& [name, worker] : workers_)
     if (worker.silent && out.size() < most) out.push_back(name);
   return out;
--- a/src/rooksill/agent/heartbeat_endpoint.cc
+++ b/src/rooksill/agent/heartbeat_endpoint.cc
@@ -63,7 +63,7 @@
   // Starts go out as direct commands only: an answer that arrives late could start what has been
   // moved since.
   worker.answered_in_full = remove_starts(commands) == 0;
-  context_.reply(request, 200, wire::encode_answer(worker.tokens.current, commands));
+  context_.reply(request, 200, wire::encode_heartbeat_answer(worker.tokens.current, commands));
 }
 
 void HeartbeatEndpoint::take_report(Worker& worker, const wire::WorkerHeartbeat& heartbeat) {
--- a/src/rooksill/agent/renewal_permit.cc
+++ b/src/rooksill/agent/renewal_permit.cc
@@ -10,7 +10,7 @@
 bool RenewalPermit::granted() const {
   const auto& platform = context_.settings.platform;
   const double known_for = context_.now.steady - cancellations_.known_at();
-  return known_for < kUsablePart * (platform.cancel_s - platform.lease_s);
+  return known_for < kUsablePart * (platform.cancel_deadline_s - platform.lease_s);
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -90,8 +90,8 @@
   if (new_addresses_.size() <= workers_.size()) new_addresses_.push_back({machine, address});
 }
 
-std::vector<wire::Address> WorkerTable::take_addresses() {
-  std::vector<wire::Address> out = std::exchange(new_addresses_, {});
+std::vector<wire::MachineAddress> WorkerTable::take_addresses() {
+  std::vector<wire::MachineAddress> out = std::exchange(new_addresses_, {});
   size_t position = ++turn_;
   for (const auto& [name, worker] : workers_)
     if (++position % kTurns == 0 && !worker.address.empty()) out.push_back({name, worker.address});
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -63,7 +63,7 @@
 
   // For the other controllers: addresses learned since the last call, and some of the others in
   // turn, so that what was lost on the way is made good. Begins the next turn.
-  std::vector<wire::Address> take_addresses();
+  std::vector<wire::MachineAddress> take_addresses();
   // The workers whose status may have changed since the last call, and those whose turn it is; with
   // `all` it is everybody's.
   struct StatusDue {
@@ -81,7 +81,7 @@
   std::vector<std::string> changed_;
   std::set<std::string> draining_;
   std::unordered_map<std::string, std::string> addresses_;  // by machine
-  std::vector<wire::Address> new_addresses_;
+  std::vector<wire::MachineAddress> new_addresses_;
   size_t turn_ = 0;
 };
 
--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -34,7 +34,7 @@
   ended.end = model::JobEnd::kCancelled;
   auto record = wire::encode_job(ended);
   // A record from before the store lowered its limits; its types are of no more use.
-  if (record.dump().size() > context_.settings.platform.state_value_bytes) {
+  if (record.dump().size() > context_.settings.platform.store_max_value_bytes) {
     ended.spec.types.clear();
     record = wire::encode_job(ended);
   }
@@ -58,7 +58,7 @@
           responder_.reply_retry(request);
       });
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       return responder_.reply_retry(request);
   }
--- a/src/rooksill/api/job_validator.cc
+++ b/src/rooksill/api/job_validator.cc
@@ -10,14 +10,14 @@
 namespace {
 
 bool runs_gangs(const PlatformSettings& platform) {
-  return platform.gang_wait_s > 0 && platform.gang_peer_s > 0;
+  return platform.gang_wait_timeout_s > 0 && platform.gang_stop_deadline_s > 0;
 }
 
 bool exceeds_quota(const model::JobSpec& spec, const TeamQuota& quota) {
   // An array runs with as little as one task at a time; all others need all of their tasks at once.
   const double tasks_at_once = spec.shape == model::Shape::kArray ? 1 : spec.tasks;
-  return (quota.cpus_max > 0 && spec.request.cpus * tasks_at_once > quota.cpus_max) ||
-         (quota.gpus_max > 0 && spec.request.gpus * tasks_at_once > quota.gpus_max);
+  return (quota.max_cpus > 0 && spec.request.cpus * tasks_at_once > quota.max_cpus) ||
+         (quota.max_gpus > 0 && spec.request.gpus * tasks_at_once > quota.max_gpus);
 }
 
 bool fits_machine_type(const model::JobSpec& spec, const model::MachineType& type) {
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -29,7 +29,7 @@
   if (job == nullptr)
     return lookup_.read(request, id, [this, request, id] { responder_.reply_status(request, id); });
   if (job->over()) return responder_.reply_status(request, id);  // ends are final
-  if (polls_.size() >= context_.settings.platform.state_txn_ops * kQueuedPollsPerTxnOp)
+  if (polls_.size() >= context_.settings.platform.store_max_transaction_ops * kQueuedPollsPerTxnOp)
     return responder_.reply_retry(request);
   polls_.push_back({request, id, context_.now.steady});
 }
@@ -39,7 +39,7 @@
   const double now = context_.now.steady;
   if (polls_.empty() || !pacer_.may_send(now)) return;
   const size_t count =
-      std::min(polls_.size(), context_.settings.platform.state_txn_ops * kPollsPerTxnOp);
+      std::min(polls_.size(), context_.settings.platform.store_max_transaction_ops * kPollsPerTxnOp);
   const std::vector<Poll> group(polls_.begin(), polls_.begin() + static_cast<long>(count));
   const bool sent = client_.transact(known_revisions(group), {},
                                      [this, group](const store::TransactionResult& result) {
@@ -72,11 +72,11 @@
     case store::TransactionOutcome::kApplied:
       return reply_group(group, {});
     case store::TransactionOutcome::kConflict:
-      return reply_group(group, {result.failed.begin(), result.failed.end()});
+      return reply_group(group, {result.conflicting_keys.begin(), result.conflicting_keys.end()});
     case store::TransactionOutcome::kRefused:
     case store::TransactionOutcome::kTooLarge:
     case store::TransactionOutcome::kUnknown:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
       for (const Poll& poll : group) responder_.reply_retry(poll.request);
       return;
   }
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -22,7 +22,7 @@
 
 // A tenth of the value is left for what the record gains later, such as the job's end.
 bool fits_value(const model::Job& job, const PlatformSettings& platform) {
-  return wire::encode_job(job).dump().size() <= platform.state_value_bytes * 9 / 10;
+  return wire::encode_job(job).dump().size() <= platform.store_max_value_bytes * 9 / 10;
 }
 
 }  // namespace
@@ -72,7 +72,7 @@
   submission.job.tasks_per_shard = replica_.tasks_per_shard();
   if (!fits_value(submission.job, platform))
     return responder_.reply_error(request, 400, "builds: too long");
-  if (submissions_.size() >= static_cast<size_t>(platform.state_write_rps * kMaxQueuedSeconds))
+  if (submissions_.size() >= static_cast<size_t>(platform.store_writes_per_s * kMaxQueuedSeconds))
     return responder_.reply_retry(request);
   submissions_.push_back(std::move(submission));
 }
@@ -105,7 +105,7 @@
 
 // A group goes out at once; the limits decide how large it may be.
 SubmissionQueue::Group SubmissionQueue::next_group() const {
-  size_t max_size = std::min(context_.settings.platform.state_txn_ops, submissions_.size());
+  size_t max_size = std::min(context_.settings.platform.store_max_transaction_ops, submissions_.size());
   while (max_size > 1 && !client_.room_for(static_cast<double>(max_size), 0)) --max_size;
   Group group;
   std::set<std::string> ids;
@@ -131,9 +131,9 @@
       for (const Submission& submission : group) accept(submission);
       return;
     case store::TransactionOutcome::kConflict:
-      return resolve_conflict(group, result.failed);
+      return resolve_conflict(group, result.conflicting_keys);
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       for (const Submission& submission : group) responder_.reply_retry(submission.request);
       return;
--- a/src/rooksill/api/transaction_pacer.h
+++ b/src/rooksill/api/transaction_pacer.h
@@ -15,7 +15,7 @@
  public:
   // `share`: the part of this controller's requests to the store.
   TransactionPacer(const PlatformSettings& platform, double share)
-      : interval_s_(platform.controllers / (share * platform.state_rps)) {}
+      : interval_s_(platform.controller_count / (share * platform.store_requests_per_s)) {}
 
   // Times are steady seconds.
   bool may_send(double now) const { return under_way_ < kMaxUnderWay && timer_.expired(now); }
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -51,7 +51,7 @@
     return responder_.reply_error(request.id, 404, "no such path");
   if (request.method != allowed_method)
     return responder_.reply_error(request.id, 405, "use " + allowed_method);
-  if (!wire::valid_job_id(id)) return responder_.reply_error(request.id, 404, "no such job");
+  if (!wire::is_valid_job_id(id)) return responder_.reply_error(request.id, 404, "no such job");
   if (cancelling)
     canceller_.cancel(request.id, id);
   else
@@ -61,7 +61,7 @@
 void UserRequests::flush() {
   submissions_.flush();
   const PlatformSettings& platform = context_.settings.platform;
-  const double max_reserved = kReservedWrites * platform.state_write_rps / platform.controllers;
+  const double max_reserved = kReservedWrites * platform.store_writes_per_s / platform.controller_count;
   client_.reserve_writes(std::min(static_cast<double>(submissions_.size()), max_reserved));
   polls_.flush();
 }
--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -43,7 +43,7 @@
   }
   ShardUpdate update(replica_, owned_, *job, id.index, changes);
   const bool any_left = update.apply();
-  const bool fits = any_left && update.encode(context_.settings.platform.state_value_bytes);
+  const bool fits = any_left && update.encode(context_.settings.platform.store_max_value_bytes);
   removed.insert(removed.end(), update.removed().begin(), update.removed().end());
   if (!any_left) return Added::kNothing;
   if (!fits) return Added::kTooLarge;
@@ -63,7 +63,7 @@
   const auto fresh = std::count_if(added.begin(), added.end(), [&](const auto& precondition) {
     return preconditions_.count(precondition.first) == 0;
   });
-  const size_t most = context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
+  const size_t most = context_.settings.platform.store_max_transaction_ops * kPreconditionsPerWrite;
   return preconditions_.size() + static_cast<size_t>(fresh) <= most;
 }
 
--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -152,7 +152,7 @@
   const auto& platform = context_.settings.platform;
   const size_t most =
       std::max(ShardTransactionBuilder::kMaxShardWrites,
-               std::min<size_t>(platform.state_txn_ops,
+               std::min<size_t>(platform.store_max_transaction_ops,
                                 static_cast<size_t>(client_.writes_per_s() * kTransactionShare)));
   if (writes > most || transaction.bytes() > kMaxBytes) return false;
   return position.rank != WriteRank::kGatheredResult ||
@@ -197,7 +197,7 @@
       remove_sent(shards);
       return;
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       context_.count("refused");
       backoff_until_ = context_.now.steady + kBackoff;
@@ -206,10 +206,10 @@
     case store::TransactionOutcome::kConflict:
       context_.count("conflicts", static_cast<double>(shards.size()));
       context_.debug("changes", "transaction of {} shards failed on {}", shards.size(),
-                     result.failed.empty() ? "" : result.failed.front());
+                     result.conflicting_keys.empty() ? "" : result.conflicting_keys.front());
       mark_reading_back(shards);
       // Nothing of what was decided on old knowledge is kept; it is derived anew.
-      committer_.refresh(result.failed, [this, shards] { remove_sent(shards); });
+      committer_.refresh(result.conflicting_keys, [this, shards] { remove_sent(shards); });
       return;
     case store::TransactionOutcome::kUnknown:
       mark_reading_back(shards);
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -39,7 +39,7 @@
 store::CallFn call_store_through(runtime::Context& context) {
   return [&context](std::string method, std::string path, std::string body, double timeout_s,
                     runtime::CallHandler handler) {
-    context.call(runtime::Target::kState, context.settings.platform.state_address,
+    context.call(runtime::Target::kState, context.settings.platform.store_address,
                  std::move(method), std::move(path), std::move(body), timeout_s,
                  std::move(handler));
   };
@@ -143,7 +143,7 @@
   if (leader_.leading())
     fleet_.on_unassigned_machine(*machine);
   else if (!leader.empty())
-    peers_.send(leader, wire::PeerKind::kUnassignedMachine, wire::pack(*machine));
+    peers_.send(leader, wire::PeerMessageKind::kUnassignedMachine, wire::pack(*machine));
 }
 
 void Controller::run_timed_steps() {
@@ -207,9 +207,9 @@
 }
 
 void Controller::broadcast_updates() {
-  wire::Updates updates;
+  wire::StoreUpdates updates;
   updates.items = committer_.take_updates();
-  if (!updates.items.empty()) peers_.broadcast(wire::PeerKind::kUpdates, wire::pack(updates));
+  if (!updates.items.empty()) peers_.broadcast(wire::PeerMessageKind::kStoreUpdates, wire::pack(updates));
 }
 
 // ---- HTTP requests ------------------------------------------------------------------------------
@@ -243,8 +243,8 @@
   const double answered_since = client_.failing_since() + kRefusedReports * platform.report_s;
   return std::any_of(platform.peers.begin(), platform.peers.end(), [&](const PeerAddress& address) {
     const membership::Peer* peer = peers_.find(address.label);
-    return peer != nullptr && peers_.alive(address.label) && peer->heartbeat.ready &&
-           peer->last_heard - peer->heartbeat.store_age > answered_since;
+    return peer != nullptr && peers_.alive(address.label) && peer->heartbeat.is_ready &&
+           peer->last_heard - peer->heartbeat.store_answer_age_s > answered_since;
   });
 }
 
@@ -258,18 +258,18 @@
 void Controller::handle_peer_message(const runtime::PeerMessage& message) {
   const auto envelope = peers_.receive(message.bytes);
   if (!envelope) return;
-  switch (static_cast<wire::PeerKind>(envelope->kind)) {
-    case wire::PeerKind::kHeartbeat:
+  switch (static_cast<wire::PeerMessageKind>(envelope->kind)) {
+    case wire::PeerMessageKind::kHeartbeat:
       return unpack_and_handle<wire::ControllerHeartbeat>(*envelope);
-    case wire::PeerKind::kMachineStatus:
+    case wire::PeerMessageKind::kMachineStatus:
       return unpack_and_handle<wire::MachineStatusUpdate>(*envelope);
-    case wire::PeerKind::kUpdates:
-      return unpack_and_handle<wire::Updates>(*envelope);
-    case wire::PeerKind::kCancelled:
-      return unpack_and_handle<wire::Cancelled>(*envelope);
-    case wire::PeerKind::kRouting:
+    case wire::PeerMessageKind::kStoreUpdates:
+      return unpack_and_handle<wire::StoreUpdates>(*envelope);
+    case wire::PeerMessageKind::kCancelledJobs:
+      return unpack_and_handle<wire::CancelledJobs>(*envelope);
+    case wire::PeerMessageKind::kRouting:
       return unpack_and_handle<wire::RoutingUpdate>(*envelope);
-    case wire::PeerKind::kUnassignedMachine:
+    case wire::PeerMessageKind::kUnassignedMachine:
       return unpack_and_handle<wire::UnassignedMachine>(*envelope);
   }
 }
@@ -282,7 +282,7 @@
 }
 
 void Controller::handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat) {
-  for (const wire::Address& address : heartbeat.addresses)
+  for (const wire::MachineAddress& address : heartbeat.addresses)
     owner_.record_address(address.machine, address.address);
   cancellations_.receive(sender, heartbeat);
   peers_.record_heartbeat(sender, std::move(heartbeat));
@@ -293,9 +293,9 @@
 }
 
 // What another controller has written to the store. Ignored until this replica has been listed.
-void Controller::handle_message(const std::string& /*sender*/, const wire::Updates& updates) {
+void Controller::handle_message(const std::string& /*sender*/, const wire::StoreUpdates& updates) {
   if (!replica_.synced) return;
-  for (const wire::Update& update : updates.items) {
+  for (const wire::StoreUpdate& update : updates.items) {
     if (update.value.empty()) {
       replica_.remove(update.key, update.revision);
       continue;
@@ -305,7 +305,7 @@
   }
 }
 
-void Controller::handle_message(const std::string& sender, const wire::Cancelled& cancelled) {
+void Controller::handle_message(const std::string& sender, const wire::CancelledJobs& cancelled) {
   cancellations_.receive(sender, cancelled);
 }
 
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -62,8 +62,8 @@
   void unpack_and_handle(const wire::Envelope& envelope);
   void handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat);
   void handle_message(const std::string& sender, wire::MachineStatusUpdate update);
-  void handle_message(const std::string& sender, const wire::Updates& updates);
-  void handle_message(const std::string& sender, const wire::Cancelled& cancelled);
+  void handle_message(const std::string& sender, const wire::StoreUpdates& updates);
+  void handle_message(const std::string& sender, const wire::CancelledJobs& cancelled);
   void handle_message(const std::string& sender, const wire::RoutingUpdate& routing);
   void handle_message(const std::string& sender, const wire::UnassignedMachine& machine);
 
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -21,16 +21,16 @@
 
 void HeartbeatSender::send_heartbeat() {
   wire::ControllerHeartbeat heartbeat;
-  heartbeat.ready = replica_.synced;
-  heartbeat.store_ok = store_answers();
-  heartbeat.store_age = context_.now.steady - client_.last_answer();
+  heartbeat.is_ready = replica_.synced;
+  heartbeat.is_store_available = store_answers();
+  heartbeat.store_answer_age_s = context_.now.steady - client_.last_answer();
   heartbeat.suspects_itself = owner_.suspects_itself();
   heartbeat.term = leader_.term();
   heartbeat.addresses = owner_.take_addresses();
   heartbeat.unreachable_zones = owner_.unreachable_zones();
   heartbeat.quota_use = owner_.quota_use();
   cancellations_.add_to_heartbeat(heartbeat);
-  peers_.broadcast(wire::PeerKind::kHeartbeat, wire::pack(heartbeat));
+  peers_.broadcast(wire::PeerMessageKind::kHeartbeat, wire::pack(heartbeat));
 }
 
 void HeartbeatSender::write_liveness_record() {
--- a/src/rooksill/controller/machine_status_publisher.cc
+++ b/src/rooksill/controller/machine_status_publisher.cc
@@ -31,11 +31,11 @@
   for (wire::MachineStatus& status : statuses) {
     message.machines.push_back(std::move(status));
     if (message.machines.size() < kStatusesPerMessage) continue;
-    peers_.send(leader, wire::PeerKind::kMachineStatus, wire::pack(message));
+    peers_.send(leader, wire::PeerMessageKind::kMachineStatus, wire::pack(message));
     message.machines.clear();
   }
   if (!message.machines.empty())
-    peers_.send(leader, wire::PeerKind::kMachineStatus, wire::pack(message));
+    peers_.send(leader, wire::PeerMessageKind::kMachineStatus, wire::pack(message));
 }
 
 }  // namespace rooksill::controller
--- a/src/rooksill/fleet/cloud_client.cc
+++ b/src/rooksill/fleet/cloud_client.cc
@@ -9,7 +9,7 @@
 }  // namespace
 
 CloudClient::CloudClient(runtime::Context& context)
-    : context_(context), rate_limit_(context.settings.platform.cloud_rps) {}
+    : context_(context), rate_limit_(context.settings.platform.cloud_calls_per_s) {}
 
 void CloudClient::start_term(uint64_t term) {
   leading_ = true;
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -31,19 +31,19 @@
   request_under_way_ =
       cloud_.get(path, [this](const runtime::CallDone& done) { on_response(done); });
   if (!request_under_way_)
-    next_request_ = context_.now.steady + 1 / context_.settings.platform.cloud_rps;
+    next_request_ = context_.now.steady + 1 / context_.settings.platform.cloud_calls_per_s;
 }
 
 void CloudInventory::on_response(const runtime::CallDone& done) {
   request_under_way_ = false;
   const auto& platform = context_.settings.platform;
-  const auto page = wire::parse_list(done.body);
+  const auto page = wire::parse_machine_list(done.body);
   if (done.status != 200 || !page) {
     next_request_ = context_.now.steady + platform.report_s / 2;
     return;
   }
   listed_.insert(listed_.end(), page->machines.begin(), page->machines.end());
-  if (page->more && !page->machines.empty()) {
+  if (page->has_more && !page->machines.empty()) {
     last_read_ = page->machines.back().name;
     return;
   }
@@ -61,7 +61,7 @@
     if (!machine.address.empty()) addresses_[name] = machine.address;
     if (returns_.was_released(name) || lists_.is_pending(name)) continue;
     if (replica_.machine(name) != nullptr) {
-      if (machine.failed) returns_.release(name, "listed as failed");
+      if (machine.has_failed) returns_.release(name, "listed as failed");
       continue;
     }
     const auto known = unexpected_since_.find(name);
@@ -77,7 +77,7 @@
 void CloudInventory::process_unexpected(const wire::ListedMachine& machine, double listed_since) {
   const double lag = context_.settings.platform.cloud_list_lag_s;
   if (context_.now.steady - listed_since < kAdoptionLags * lag) return;
-  if (machine.failed) {
+  if (machine.has_failed) {
     returns_.release(machine.name, "unexpected and failed");
     return;
   }
@@ -96,8 +96,8 @@
   lists_.add({name}, offer);
 }
 
-std::vector<wire::Address> CloudInventory::take_addresses() {
-  std::vector<wire::Address> taken;
+std::vector<wire::MachineAddress> CloudInventory::take_addresses() {
+  std::vector<wire::MachineAddress> taken;
   for (auto& [machine, address] : addresses_) taken.push_back({machine, address});
   addresses_.clear();
   return taken;
--- a/src/rooksill/fleet/cloud_inventory.h
+++ b/src/rooksill/fleet/cloud_inventory.h
@@ -41,7 +41,7 @@
   // that of a rental under way.
   void on_unassigned_machine(const wire::UnassignedMachine& report);
   // Addresses learned since the last call, by machine name.
-  std::vector<wire::Address> take_addresses();
+  std::vector<wire::MachineAddress> take_addresses();
 
  private:
   void on_response(const runtime::CallDone& done);
--- a/src/rooksill/fleet/drain_moves.cc
+++ b/src/rooksill/fleet/drain_moves.cc
@@ -89,7 +89,7 @@
     --tasks_by_zone[from.zone];
   }
   for (const auto& [name, status] : statuses) {
-    if (!status.up || status.draining || !has_free(status, spec.request)) continue;
+    if (!status.is_up || status.is_draining || !has_free(status, spec.request)) continue;
     const model::Machine* to = replica_.machine(name);
     if (to == nullptr || name == from.name || returns_.is_draining(name)) continue;
     if (to->spot && !spec.spot) continue;
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -56,7 +56,7 @@
   const std::set<std::string>& draining() const { return returns_.draining(); }
   // What was found out since the last call: moves for the tasks' owners, machines' addresses.
   std::vector<wire::TaskMove> take_moves() { return drain_moves_.take_moves(); }
-  std::vector<wire::Address> take_addresses() { return inventory_.take_addresses(); }
+  std::vector<wire::MachineAddress> take_addresses() { return inventory_.take_addresses(); }
 
  private:
   void rent_on_demand(const wire::MachineStatusMap& statuses,
--- a/src/rooksill/fleet/free_space.h
+++ b/src/rooksill/fleet/free_space.h
@@ -20,7 +20,7 @@
 };
 
 inline model::Resources free_resources(const wire::MachineStatus& status) {
-  return {status.cpus_free, status.gpus_free, status.memory_free};
+  return {status.cpus_free, status.gpus_free, status.memory_free_gb};
 }
 
 // A machine of the offer without any task.
--- a/src/rooksill/fleet/machine_catalog.cc
+++ b/src/rooksill/fleet/machine_catalog.cc
@@ -62,7 +62,7 @@
     auto value = wire::encode_type(type);
     const auto known = replica_.types.find(type.name);
     if (known != replica_.types.end() && wire::encode_type(known->second) == value) continue;
-    if (writes.size() < context_.settings.platform.state_txn_ops)
+    if (writes.size() < context_.settings.platform.store_max_transaction_ops)
       writes.push_back({wire::type_key(type.name), std::move(value), 0});
   }
   return writes;
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -130,7 +130,7 @@
     for (const auto& name : pages[static_cast<size_t>(id.page)].names)
       machines.emplace(name, *replica_.machine(name));
   for (const auto& name : removed_) machines.erase(name);
-  const size_t most_bytes = context_.settings.platform.state_value_bytes;
+  const size_t most_bytes = context_.settings.platform.store_max_value_bytes;
   for (auto& [name, machine] : pending_) {
     if (machine.partition != id.partition || machine.page != id.page) continue;
     if (machines.count(name) != 0) continue;
--- a/src/rooksill/fleet/machine_returns.cc
+++ b/src/rooksill/fleet/machine_returns.cc
@@ -30,7 +30,7 @@
     if (requested_.count(name) == 0 && names.size() < kMachinesPerRequest) names.push_back(name);
   if (names.empty()) return;
   const bool sent =
-      cloud_.post("/hosts/release", wire::encode_release(names),
+      cloud_.post("/hosts/release", wire::encode_release_request(names),
                   [this, names](const runtime::CallDone& done) { on_response(names, done); });
   if (sent) requested_.insert(names.begin(), names.end());
 }
--- a/src/rooksill/fleet/machine_review.cc
+++ b/src/rooksill/fleet/machine_review.cc
@@ -23,16 +23,16 @@
                                           const std::set<int>& suspect_partitions) {
   if (failed_to_boot(machine, status)) return "never came up";
   const bool owner_suspect = suspect_partitions.count(machine.partition) != 0;
-  if (status.silent && !owner_suspect && silent_.claim_release(machine)) return "silent";
-  if (status.faulty) return "fails every task";
-  if (status.termination_notice && status.tasks == 0) return "to be taken, and empty";
-  if (status.draining && returns_.is_draining(machine.name) && status.tasks == 0) return "idle";
+  if (status.is_unreachable && !owner_suspect && silent_.claim_release(machine)) return "silent";
+  if (status.is_faulty) return "fails every task";
+  if (status.has_termination_notice && status.task_count == 0) return "to be taken, and empty";
+  if (status.is_draining && returns_.is_draining(machine.name) && status.task_count == 0) return "idle";
   return nullptr;
 }
 
 bool MachineReview::failed_to_boot(const model::Machine& machine,
                                    const wire::MachineStatus& status) const {
-  if (status.up || status.tasks != 0) return false;
+  if (status.is_up || status.task_count != 0) return false;
   const auto type = replica_.types.find(machine.type);
   const double boot_s =
       type != replica_.types.end() ? type->second.boot_s : context_.settings.platform.lease_s;
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -86,7 +86,7 @@
   if (returns_.is_leaving(machine.name) || returns_.is_draining(machine.name)) return std::nullopt;
   FreeSpace space = empty_machine(type->second, machine);
   const auto status = statuses.find(machine.name);
-  if (status != statuses.end() && status->second.up) {
+  if (status != statuses.end() && status->second.is_up) {
     space.free = free_resources(status->second);
     if (space.free.cpus > 0) return space;
     return std::nullopt;
@@ -142,11 +142,11 @@
   const model::Machine* machine = replica_.machine(name);
   if (machine == nullptr || returns_.is_releasing(name)) return std::nullopt;
   const auto status = statuses.find(name);
-  if (status == statuses.end() || !status->second.up) return std::nullopt;
+  if (status == statuses.end() || !status->second.is_up) return std::nullopt;
   const auto type = replica_.types.find(machine->type);
   if (type == replica_.types.end()) return std::nullopt;
   const model::Resources& capacity = type->second.capacity;
-  const double load = status->second.load;
+  const double load = status->second.utilization;
   if (load + capacity.share_of(spec.request) > 1) return std::nullopt;
   FreeSpace space = empty_machine(type->second, *machine);
   space.free = capacity * (1 - load);
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -17,8 +17,8 @@
 double unplanned_cost_factor(const PlatformSettings& platform) {
   double factor = 1;
   for (const auto& objective : platform.objectives)
-    if (objective.kind == ObjectiveKind::kWait && objective.share < 1)
-      factor = std::max(factor, 1 / (1 - objective.share));
+    if (objective.kind == ObjectiveKind::kWait && objective.target_share < 1)
+      factor = std::max(factor, 1 / (1 - objective.target_share));
   return factor;
 }
 
@@ -57,7 +57,7 @@
   input.lambda = demand.lambda();
   input.mu = demand.mu();
   input.ceiling = std::max(ceiling.all, input.x);
-  input.periods = operators.periods;
+  input.periods = operators.horizon_periods;
   input.c1 = operators.planned_cost;
   input.c2 = operators.unplanned_cost * unplanned_cost_factor;
   input.h = operators.holding_cost;
@@ -86,13 +86,13 @@
       continue;
     }
     const wire::MachineStatus& status = found->second;
-    if (status.faulty || status.silent || status.termination_notice) continue;
+    if (status.is_faulty || status.is_unreachable || status.has_termination_notice) continue;
     ++state.rented;
-    state.busy += status.load;
+    state.busy += status.utilization;
     const double age = context_.now.wall - machine->rented;
-    if (!status.up || age <= kMinimumChargeSeconds) continue;
+    if (!status.is_up || age <= kMinimumChargeSeconds) continue;
     const auto images = static_cast<double>(status.images.size());
-    state.candidates.push_back({status.load * (1 + kCostOfImage * images), machine});
+    state.candidates.push_back({status.utilization * (1 + kCostOfImage * images), machine});
   }
   return state;
 }
@@ -106,7 +106,7 @@
     ceiling.by_zone[zone] = in_zone;
     ceiling.all += in_zone;
   }
-  const int configured = context_.settings.operators.ceiling;
+  const int configured = context_.settings.operators.max_machines;
   if (configured > 0) ceiling.all = std::min(configured, ceiling.all);
   return ceiling;
 }
--- a/src/rooksill/fleet/rentals.cc
+++ b/src/rooksill/fleet/rentals.cc
@@ -46,7 +46,7 @@
     const InstancePool& pool = request.offer.pool;
     const bool sent = cloud_.post(
         "/hosts",
-        wire::encode_rental(name, pool.type, request.offer.zone, pool.spot, request.count),
+        wire::encode_rental_request(name, pool.type, request.offer.zone, pool.spot, request.count),
         [this, name = name](const runtime::CallDone& done) { on_response(name, done); });
     if (!sent) return;
     request.state = RentalRequest::State::kUnderWay;
@@ -76,7 +76,7 @@
 
 bool Rentals::take_machines(const RentalRequest& request, const runtime::CallDone& done) {
   if (done.status != 200) return false;
-  const auto names = wire::parse_rented(done.body);
+  const auto names = wire::parse_rented_names(done.body);
   if (!names) return false;
   lists_.add(*names, request.offer, request.partition);
   if (!names->empty()) capacity_.record_supply(request.offer);
--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/silent_machines.cc
@@ -46,10 +46,10 @@
     if (found == statuses.end() || type == replica_.types.end()) continue;
     const wire::MachineStatus& status = found->second;
     const double age = context_.now.wall - machine.rented;
-    if (!status.up && age < model::kLateBoot * type->second.boot_s) continue;
+    if (!status.is_up && age < model::kLateBoot * type->second.boot_s) continue;
     ZoneCount& count = counts[machine.zone];
     ++count.all;
-    if (status.silent || !status.up) ++count.silent;
+    if (status.is_unreachable || !status.is_up) ++count.silent;
   }
   return counts;
 }
@@ -85,7 +85,7 @@
   free_cpus_ = 0;
   used_cpus_.fill(0);
   for (const auto& [name, status] : statuses) {
-    if (replica_.machine(name) == nullptr || !status.up || status.silent) continue;
+    if (replica_.machine(name) == nullptr || !status.is_up || status.is_unreachable) continue;
     free_cpus_ += status.cpus_free;
     for (size_t priority = 0; priority < used_cpus_.size(); ++priority)
       used_cpus_[priority] += status.cpus_by_priority[priority];
@@ -111,7 +111,7 @@
 bool SilentMachines::claim_release_in_cut_off_zone(const model::Machine& machine, double silent_s) {
   const PlatformSettings& platform = context_.settings.platform;
   // A machine counts as silent only after that time; its lease began before.
-  const double unheard_s = context_.settings.operators.machine_silence_reports * platform.report_s;
+  const double unheard_s = context_.settings.operators.machine_timeout_reports * platform.report_s;
   if (silent_s < platform.lease_s - unheard_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
   if (load.replica_cpus <= 0 && claim_space_for(load)) return true;
--- a/src/rooksill/fleet/zone_floors.cc
+++ b/src/rooksill/fleet/zone_floors.cc
@@ -41,7 +41,7 @@
                         const wire::MachineStatusMap& statuses) const {
   if (returns_.is_draining(machine.name) || returns_.is_leaving(machine.name)) return false;
   const auto status = statuses.find(machine.name);
-  if (status == statuses.end() || status->second.silent || status->second.faulty) return false;
+  if (status == statuses.end() || status->second.is_unreachable || status->second.is_faulty) return false;
   return replica_.types.count(machine.type) != 0;
 }
 
--- a/src/rooksill/leader/capacity_view.cc
+++ b/src/rooksill/leader/capacity_view.cc
@@ -22,7 +22,7 @@
   for (size_t i = 0; i < pool.cpus_by_priority.size(); ++i)
     pool.cpus_by_priority[i] += status.cpus_by_priority[i];
   if (status.cpus_free <= 0) return;
-  pool.free += {status.cpus_free, status.gpus_free, status.memory_free};
+  pool.free += {status.cpus_free, status.gpus_free, status.memory_free_gb};
   for (const auto& image : status.images) pool.free_cpus_by_image[image] += status.cpus_free;
 }
 
@@ -45,7 +45,7 @@
   std::vector<std::map<PoolKey, size_t>> positions(pools_.size());
   for (const auto& [name, status] : statuses) {
     const model::Machine* machine = replica_.machine(name);
-    if (machine == nullptr || !status.up) continue;
+    if (machine == nullptr || !status.is_up) continue;
     auto type = replica_.types.find(machine->type);
     if (type == replica_.types.end()) continue;
     const auto partition = static_cast<size_t>(machine->partition);
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -57,15 +57,15 @@
   wire::PublishedStatus& status = statuses_[name];
   status.publisher = owner;
   status.name = name;
-  status.up = status.up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
+  status.is_up = status.is_up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
   // The owner cannot be asked to drain it and could not say that it is empty.
-  status.draining = false;
-  status.silent = std::find(silent.begin(), silent.end(), name) != silent.end();
-  status.cpus_free = status.up && !status.silent ? free.cpus : 0;
+  status.is_draining = false;
+  status.is_unreachable = std::find(silent.begin(), silent.end(), name) != silent.end();
+  status.cpus_free = status.is_up && !status.is_unreachable ? free.cpus : 0;
   status.gpus_free = free.gpus;
-  status.memory_free = free.memory_gb;
-  status.tasks = static_cast<uint32_t>(load.tasks.size());
-  status.load = std::max(capacity.cpus > 0 ? load.used.cpus / capacity.cpus : 0,
+  status.memory_free_gb = free.memory_gb;
+  status.task_count = static_cast<uint32_t>(load.tasks.size());
+  status.utilization = std::max(capacity.cpus > 0 ? load.used.cpus / capacity.cpus : 0,
                          capacity.memory_gb > 0 ? load.used.memory_gb / capacity.memory_gb : 0);
 }
 
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -60,7 +60,7 @@
 // ----------------------------------------------------------------------
 
 PartitionAssigner::Candidates PartitionAssigner::find_candidates() {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   Candidates candidates;
   for (const auto& label : labels)
     if (may_own(label)) candidates.labels.push_back(label);
@@ -90,10 +90,10 @@
   if (!peers_.alive(label)) return "it is not heard";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
-  if (!heartbeat.ready) return "its replica is not loaded";
+  if (!heartbeat.is_ready) return "its replica is not loaded";
   if (membership::Upgrade::runs_older_version(replica_, label, peer))
     return "it runs an older version";
-  if (!heartbeat.store_ok) return "the store does not answer it";
+  if (!heartbeat.is_store_available) return "the store does not answer it";
   if (heartbeat.suspects_itself) return "it suspects itself";
   return "";
 }
@@ -104,10 +104,10 @@
 bool PartitionAssigner::waits_for_peers() const {
   const double since_start = context_.now.steady - election_.first_tick();
   if (since_start >= kGatherReports * context_.settings.platform.report_s) return false;
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   return std::any_of(labels.begin(), labels.end(), [&](const auto& label) {
     const membership::Peer* peer = peers_.find(label);
-    return peer != nullptr && (peer->incarnation == 0 || !peer->heartbeat.ready);
+    return peer != nullptr && (peer->incarnation == 0 || !peer->heartbeat.is_ready);
   });
 }
 
@@ -148,7 +148,7 @@
 
 // The first partition of `from`, or the first whose home is `to` if there is one; -1: none.
 int PartitionAssigner::partition_to_move(const std::string& from, const std::string& to) const {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   int first = -1;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     if (replica_.leases[i].owner != from) continue;
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -171,10 +171,10 @@
 
 Router::Messages Router::empty_messages(bool full) const {
   Messages messages;
-  for (const auto& label : context_.settings.platform.labels()) {
+  for (const auto& label : context_.settings.platform.sorted_labels()) {
     wire::RoutingUpdate& message = messages[label];
     message.term = term_;
-    message.full = full;
+    message.is_full = full;
   }
   return messages;
 }
@@ -193,7 +193,7 @@
     messages[owner_of(route.partition)].routes.push_back({shard.job, shard.index});
   for (const auto& name : fleet_.draining())
     if (const model::Machine* machine = replica_.machine(name))
-      messages[owner_of(machine->partition)].drain.push_back(name);
+      messages[owner_of(machine->partition)].machines_to_drain.push_back(name);
 }
 
 void Router::add_fresh_routes(Messages& messages) const {
@@ -210,7 +210,7 @@
     if (label == context_.settings.platform.label)
       owner_.routes(message);
     else if (!label.empty())
-      peers_.send(label, wire::PeerKind::kRouting, wire::pack(message));
+      peers_.send(label, wire::PeerMessageKind::kRouting, wire::pack(message));
   }
 }
 
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -61,29 +61,29 @@
 void Cancellations::send_from(uint64_t first, const std::string& label, PeerProgress& progress) {
   const auto begin = learned_.begin() + static_cast<std::ptrdiff_t>(first - first_);
   const size_t count = std::min(kMaxPerMessage, static_cast<size_t>(learned_.end() - begin));
-  wire::Cancelled message;
+  wire::CancelledJobs message;
   message.first = first;
   message.jobs.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
   progress.sent = first + count - 1;
   progress.next_resend = context_.now.steady + kResendReports * context_.settings.platform.report_s;
-  peers_.send(label, wire::PeerKind::kCancelled, wire::pack(message));
+  peers_.send(label, wire::PeerMessageKind::kCancelledJobs, wire::pack(message));
 }
 
 void Cancellations::add_to_heartbeat(wire::ControllerHeartbeat& heartbeat) const {
   heartbeat.sent_at = context_.now.steady;
-  heartbeat.cancelled = learned_count();
+  heartbeat.cancellation_count = learned_count();
   for (const auto& [label, progress] : progress_) {
     if (progress.incarnation == 0 || progress.last_sent_at < kEarliestSentAt) continue;
-    heartbeat.heard.push_back(
+    heartbeat.cancellation_acks.push_back(
         {label, progress.incarnation, progress.received, progress.last_sent_at});
   }
 }
 
-void Cancellations::receive(const std::string& label, const wire::Cancelled& message) {
+void Cancellations::receive(const std::string& label, const wire::CancelledJobs& message) {
   PeerProgress& progress = progress_of(label);
   // Acted on at once; the job's record follows by the watch.
   for (const auto& job : message.jobs)
-    if (wire::valid_job_id(job)) replica_.record_cancelled(job);
+    if (wire::is_valid_job_id(job)) replica_.record_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
   const bool without_gap = message.first <= progress.received + 1;
   if (!message.jobs.empty() && without_gap) progress.received = std::max(progress.received, last);
@@ -92,12 +92,12 @@
 void Cancellations::receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat) {
   PeerProgress& progress = progress_of(label);
   progress.last_sent_at = std::max(progress.last_sent_at, heartbeat.sent_at);
-  if (heartbeat.ready && !progress.ready_at) progress.ready_at = context_.now.steady;
-  record_count(heartbeat.cancelled, progress);
+  if (heartbeat.is_ready && !progress.ready_at) progress.ready_at = context_.now.steady;
+  record_count(heartbeat.cancellation_count, progress);
   credit_what_store_covers(progress);
-  for (const wire::CancellationAck& ack : heartbeat.heard)
+  for (const wire::CancellationAck& ack : heartbeat.cancellation_acks)
     if (ack.label == context_.settings.platform.label && ack.incarnation == context_.incarnation)
-      confirm(label, ack, heartbeat.cancelled, progress);
+      confirm(label, ack, heartbeat.cancellation_count, progress);
 }
 
 void Cancellations::record_count(uint64_t count, PeerProgress& progress) const {
@@ -122,7 +122,7 @@
 // our own that it answers to, and that one's time is known by our clock.
 void Cancellations::confirm(const std::string& label, const wire::CancellationAck& ack,
                             uint64_t announced, PeerProgress& progress) {
-  progress.confirmed = std::max(progress.confirmed, ack.cancelled);
+  progress.confirmed = std::max(progress.confirmed, ack.cancellation_count);
   // What an earlier process of this peer confirmed to users is known only if the store was asked
   // since that process was gone.
   const bool earlier_process_covered =
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -31,7 +31,7 @@
   // Adds how many cancellations this process knows, and how far it has those of each peer.
   void add_to_heartbeat(wire::ControllerHeartbeat& heartbeat) const;
 
-  void receive(const std::string& label, const wire::Cancelled& message);
+  void receive(const std::string& label, const wire::CancelledJobs& message);
   void receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
 
   // Every cancellation that any controller confirmed to a user before this moment is in the
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -66,7 +66,7 @@
   peers_.at(label).heartbeat = std::move(heartbeat);
 }
 
-void Peers::send(const std::string& label, wire::PeerKind kind, const std::string& payload) {
+void Peers::send(const std::string& label, wire::PeerMessageKind kind, const std::string& payload) {
   wire::Envelope envelope;
   envelope.version = envelope_version_;
   envelope.kind = static_cast<int>(kind);
@@ -77,7 +77,7 @@
   context_.send_to_peer(label, wire::pack(envelope));
 }
 
-void Peers::broadcast(wire::PeerKind kind, const std::string& payload) {
+void Peers::broadcast(wire::PeerMessageKind kind, const std::string& payload) {
   for (const auto& label : labels_) send(label, kind, payload);
 }
 
@@ -125,8 +125,8 @@
   if (!alive(label)) peer.first_heard = context_.now.steady;
   peer.liveness_seen_at = context_.now.steady;
   if (heard(label)) return;
-  peer.heartbeat.ready = true;
-  peer.heartbeat.store_ok = true;
+  peer.heartbeat.is_ready = true;
+  peer.heartbeat.is_store_available = true;
   peer.heartbeat.suspects_itself = record.suspects_itself;
   peer.heartbeat.unreachable_zones = record.unreachable_zones;
 }
@@ -173,7 +173,7 @@
 }
 
 double Peers::silence() const {
-  return context_.settings.operators.peer_silence_reports * context_.settings.platform.report_s;
+  return context_.settings.operators.peer_timeout_reports * context_.settings.platform.report_s;
 }
 
 bool Peers::heard(const std::string& label) const {
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -44,8 +44,8 @@
   std::optional<wire::Envelope> receive(const std::string& bytes);
   // What a message of that kind said. `label`: of an envelope that was received.
   void record_heartbeat(const std::string& label, wire::ControllerHeartbeat heartbeat);
-  void send(const std::string& label, wire::PeerKind kind, const std::string& payload);
-  void broadcast(wire::PeerKind kind, const std::string& payload);
+  void send(const std::string& label, wire::PeerMessageKind kind, const std::string& payload);
+  void broadcast(wire::PeerMessageKind kind, const std::string& payload);
   // From now on messages go out in envelopes of this version, which older processes do not take.
   void set_envelope_version(int version) { envelope_version_ = version; }
 
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -37,7 +37,7 @@
 
 bool Upgrade::runs_older_version(const store::Replica& replica, const std::string& label,
                                  const Peer& peer) {
-  if (!complete(replica) || !peer.heartbeat.ready || peer.version >= model::kPresentVersion)
+  if (!complete(replica) || !peer.heartbeat.is_ready || peer.version >= model::kPresentVersion)
     return false;
   auto record = replica.versions.find(label);
   return record == replica.versions.end() || record->second.incarnation != peer.incarnation;
@@ -65,7 +65,7 @@
 
 // Every record is a precondition, so that the upgrade is written only on what it was decided on.
 void Upgrade::write_upgrade() {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   const bool all = std::all_of(labels.begin(), labels.end(),
                                [this](const auto& label) { return has_present_version(label); });
   if (!all) return;
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -37,7 +37,7 @@
     : loop_(loop),
       on_message_(std::move(on_message)),
       on_lost_(std::move(on_lost)),
-      listener_(listen_on(settings.back_address)) {
+      listener_(listen_on(settings.peer_address)) {
   accept_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept(); });
   for (const auto& p : settings.peers) {
     auto o = std::make_unique<Out>();
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -25,20 +25,20 @@
                                    const store::Replica& replica) {
   wire::MachineStatus status;
   status.name = worker.name;
-  status.up = worker.reported;
-  status.draining = availability.draining;
-  status.silent = worker.silent;
-  status.faulty = worker.failures.faulty;
-  status.termination_notice = worker.terminates_at.has_value();
+  status.is_up = worker.reported;
+  status.is_draining = availability.draining;
+  status.is_unreachable = worker.silent;
+  status.is_faulty = worker.failures.faulty;
+  status.has_termination_notice = worker.terminates_at.has_value();
   if (availability.takes_tasks) {
     status.cpus_free = capacity.free.cpus;
     std::copy(capacity.cpus_by_priority.begin(), capacity.cpus_by_priority.end(),
               status.cpus_by_priority.begin());
   }
   status.gpus_free = capacity.free.gpus;
-  status.memory_free = capacity.free.memory_gb;
-  status.tasks = capacity.tasks;
-  status.load = load_of(capacity);
+  status.memory_free_gb = capacity.free.memory_gb;
+  status.task_count = capacity.tasks;
+  status.utilization = load_of(capacity);
   for (const auto& entry : worker.images.entries())
     status.images.push_back(replica.image_name(entry.image));
   return status;
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -132,8 +132,8 @@
 void PartitionOwner::routes(const wire::RoutingUpdate& update) {
   if (!routed_.current(update)) return;
   routed_.apply(update);
-  if (update.full) workers_.clear_draining();
-  workers_.drain(update.drain);
+  if (update.is_full) workers_.clear_draining();
+  workers_.drain(update.machines_to_drain);
   asked_transfers_.insert(asked_transfers_.end(), update.transfers.begin(), update.transfers.end());
   for (const wire::TaskMove& move : update.moves) evict(move);
   placement_requested_ = true;
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -73,7 +73,7 @@
 
   // What changed since the last call, and some others in turn; everything if `all`.
   std::vector<wire::MachineStatus> take_statuses(bool all);
-  std::vector<wire::Address> take_addresses() { return workers_.take_addresses(); }
+  std::vector<wire::MachineAddress> take_addresses() { return workers_.take_addresses(); }
   // Of teams with a limit, in the partitions held.
   std::vector<wire::QuotaUse> quota_use() const;
   size_t queued() const { return changes_.size(); }
--- a/src/rooksill/partition/quota_usage.cc
+++ b/src/rooksill/partition/quota_usage.cc
@@ -60,7 +60,7 @@
   for (const auto& [key, used] : used_) {
     auto quota = quotas.find(key.team);
     if (!owns(key.partition) || quota == quotas.end()) continue;
-    if (quota->second.cpus_max <= 0 && quota->second.gpus_max <= 0) continue;
+    if (quota->second.max_cpus <= 0 && quota->second.max_gpus <= 0) continue;
     const model::QuotaShare leaving = transfers_.leaving(key.team, key.partition);
     uses.push_back({key.partition, key.team, used.cpus + leaving.cpus, used.gpus + leaving.gpus});
   }
--- a/src/rooksill/partition/routed_shards.cc
+++ b/src/rooksill/partition/routed_shards.cc
@@ -10,7 +10,7 @@
 }  // namespace
 
 void RoutedShards::apply(const wire::RoutingUpdate& update) {
-  if (update.full) shards_.clear();
+  if (update.is_full) shards_.clear();
   term_ = update.term;
   for (const wire::ShardRoute& route : update.routes) shards_.insert({route.job, route.shard});
 }
--- a/src/rooksill/placement/work_order.cc
+++ b/src/rooksill/placement/work_order.cc
@@ -22,7 +22,7 @@
     if (objective.job_class != spec.job_class) continue;
     double target = 0;
     if (objective.kind == ObjectiveKind::kDeadline && spec.deadline_s)
-      target = job.submitted + *spec.deadline_s * objective.times;
+      target = job.submitted + *spec.deadline_s * objective.deadline_factor;
     else if (objective.kind == ObjectiveKind::kFinished)
       target = job.submitted + objective.within_s;
     else
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -95,7 +95,7 @@
   std::vector<wire::QuotaTransfer> transfers;
   for (const auto& [team, shortage] : std::exchange(shortages_, {})) {
     double& next = next_transfer_[team];
-    if (context_.now.steady < next || !wire::valid_team_name(team)) continue;
+    if (context_.now.steady < next || !wire::is_valid_team_name(team)) continue;
     auto transfer = transfer_for(team, shortage, can_give);
     if (!transfer) continue;
     next = context_.now.steady + kPauseReports * context_.settings.platform.report_s;
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -56,11 +56,11 @@
     const TeamPartition at{team, partition};
     const double cpus = largest_machine(replica, &model::Resources::cpus);
     const double gpus = largest_machine(replica, &model::Resources::gpus);
-    share.cpus = initial_share(quota.cpus_max, cpus, at, partitions);
-    share.gpus = initial_share(quota.gpus_max, gpus, at, partitions);
+    share.cpus = initial_share(quota.max_cpus, cpus, at, partitions);
+    share.gpus = initial_share(quota.max_gpus, gpus, at, partitions);
   }
-  if (quota.cpus_max <= 0) share.cpus = kUnlimited;
-  if (quota.gpus_max <= 0) share.gpus = kUnlimited;
+  if (quota.max_cpus <= 0) share.cpus = kUnlimited;
+  if (quota.max_gpus <= 0) share.gpus = kUnlimited;
   return share;
 }
 
@@ -68,10 +68,10 @@
                                              const store::Replica& replica,
                                              const std::string& team) {
   auto quota = settings.platform.teams.find(team);
-  if (quota == settings.platform.teams.end() || quota->second.cpus_max <= 0) return std::nullopt;
+  if (quota == settings.platform.teams.end() || quota->second.max_cpus <= 0) return std::nullopt;
   const int partitions = static_cast<int>(replica.leases.size());
   const double machine = largest_machine(replica, &model::Resources::cpus);
-  if (!is_small(quota->second.cpus_max, machine, partitions)) return std::nullopt;
+  if (!is_small(quota->second.max_cpus, machine, partitions)) return std::nullopt;
   int most = 0;
   for (int partition = 1; partition < partitions; ++partition)
     if (quota_share(settings, replica, team, partition).cpus >
--- a/src/rooksill/quota/quota_transfers.cc
+++ b/src/rooksill/quota/quota_transfers.cc
@@ -30,7 +30,7 @@
 void QuotaTransfers::start(const wire::QuotaTransfer& request, const model::QuotaShare& unused) {
   const int partitions = static_cast<int>(replica_.leases.size());
   if (request.to < 0 || request.to >= partitions || request.to == request.from) return;
-  if (!wire::valid_team_name(request.team) || transfers_.count(request.team) != 0) return;
+  if (!wire::is_valid_team_name(request.team) || transfers_.count(request.team) != 0) return;
   if (request.revision != division_revision(replica_, request.team)) return;
   Transfer transfer;
   transfer.from = request.from;
@@ -84,12 +84,12 @@
       return;
     case store::TransactionOutcome::kConflict:
       // The keys read back show which precondition failed: tick() forgets the transfer then.
-      return read_back(team, transfer, result.failed);
+      return read_back(team, transfer, result.conflicting_keys);
     case store::TransactionOutcome::kUnknown:
       transfer.unanswered_copy = true;
       return read_back(team, transfer, {wire::quota_key(team)});
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       // Not executed. Where an earlier copy may yet be, the amount stays gone until that is
       // settled.
--- a/src/rooksill/settings/operators.cc
+++ b/src/rooksill/settings/operators.cc
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-OperatorSettings parse_operators(const std::string& source) {
+OperatorSettings parse_operator_settings(const std::string& source) {
   const json root = json::parse(source, nullptr, false);
   if (root.is_discarded())
     throw SettingsError(SettingsError::Reason::kMalformed, kWholeFile, "not JSON");
@@ -57,16 +57,16 @@
   OperatorSettings settings;
   const json policy = root.value("policy", json::object());
   read_optional(policy, "period_reports", settings.period_reports);
-  read_optional(policy, "periods", settings.periods);
+  read_optional(policy, "periods", settings.horizon_periods);
   read_optional(policy, "planned_cost", settings.planned_cost);
   read_optional(policy, "unplanned_cost", settings.unplanned_cost);
   read_optional(policy, "holding_cost", settings.holding_cost);
-  read_optional(policy, "ceiling", settings.ceiling);
+  read_optional(policy, "ceiling", settings.max_machines);
   read_optional(policy, "demand_cap", settings.demand_cap);
   const json takeover = root.value("takeover", json::object());
   read_optional(takeover, "leader_ttl_reports", settings.leader_ttl_reports);
-  read_optional(takeover, "peer_silence_reports", settings.peer_silence_reports);
-  read_optional(takeover, "machine_silence_reports", settings.machine_silence_reports);
+  read_optional(takeover, "peer_silence_reports", settings.peer_timeout_reports);
+  read_optional(takeover, "machine_silence_reports", settings.machine_timeout_reports);
   return settings;
 }
 
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -23,28 +23,28 @@
 
 // ---- Single fields. `prefix` is the path of the object that they are in, with a dot at its end.
 
-const json& member(const json& object, const char* name, const std::string& prefix) {
+const json& read_member(const json& object, const char* name, const std::string& prefix) {
   const auto it = object.is_object() ? object.find(name) : object.end();
   if (!object.is_object() || it == object.end())
     throw SettingsError(Reason::kMissing, prefix + name, "missing");
   return *it;
 }
 
-std::string text(const json& object, const char* name, const std::string& prefix) {
-  const json& value = member(object, name, prefix);
+std::string read_text(const json& object, const char* name, const std::string& prefix) {
+  const json& value = read_member(object, name, prefix);
   if (!value.is_string() || value.get_ref<const std::string&>().empty())
     throw SettingsError(Reason::kWrongType, prefix + name, "must be a non-empty string");
   return value.get<std::string>();
 }
 
-const json& array(const json& object, const char* name, const std::string& prefix) {
-  const json& value = member(object, name, prefix);
+const json& read_array(const json& object, const char* name, const std::string& prefix) {
+  const json& value = read_member(object, name, prefix);
   if (!value.is_array()) throw SettingsError(Reason::kWrongType, prefix + name, "must be an array");
   return value;
 }
 
-double number(const json& object, const char* name, const std::string& prefix, double minimum) {
-  const json& value = member(object, name, prefix);
+double read_number(const json& object, const char* name, const std::string& prefix, double minimum) {
+  const json& value = read_member(object, name, prefix);
   if (!value.is_number() || !std::isfinite(value.get<double>()) || value.get<double>() < minimum)
     throw SettingsError(Reason::kTooSmall, prefix + name,
                         "must be a number of at least " + std::to_string(minimum));
@@ -52,15 +52,15 @@
 }
 
 // 0 if it is not there.
-double optional_number(const json& object, const char* name, const std::string& prefix) {
+double read_optional_number(const json& object, const char* name, const std::string& prefix) {
   const auto it = object.find(name);
   if (it == object.end() || it->is_null()) return 0;
-  return number(object, name, prefix, 0);
+  return read_number(object, name, prefix, 0);
 }
 
 // host:port, with a port in digits.
-std::string address(const json& object, const char* name, const std::string& prefix) {
-  std::string value = text(object, name, prefix);
+std::string read_address(const json& object, const char* name, const std::string& prefix) {
+  std::string value = read_text(object, name, prefix);
   const auto colon = value.rfind(':');
   const bool valid = colon != std::string::npos && colon > 0 && colon + 1 < value.size() &&
                      std::all_of(value.begin() + static_cast<long>(colon) + 1, value.end(),
@@ -73,13 +73,13 @@
 
 void parse_peers(const json& root, PlatformSettings& settings) {
   if (!root.contains("siblings")) return;
-  for (const json& peer : array(root, "siblings", ""))
+  for (const json& peer : read_array(root, "siblings", ""))
     settings.peers.push_back(
-        {text(peer, "label", "siblings."), address(peer, "endpoint", "siblings.")});
+        {read_text(peer, "label", "siblings."), read_address(peer, "endpoint", "siblings.")});
 }
 
 void parse_zones(const json& facts, PlatformSettings& settings) {
-  for (const json& zone : array(facts, "zones", "facts.")) {
+  for (const json& zone : read_array(facts, "zones", "facts.")) {
     if (!zone.is_string())
       throw SettingsError(Reason::kWrongType, "facts.zones", "must hold strings");
     settings.zones.push_back(zone.get<std::string>());
@@ -88,13 +88,13 @@
 
 void parse_teams(const json& facts, PlatformSettings& settings) {
   const std::string prefix = "facts.teams.";
-  for (const json& team : array(facts, "teams", "facts.")) {
-    const std::string name = text(team, "name", prefix);
+  for (const json& team : read_array(facts, "teams", "facts.")) {
+    const std::string name = read_text(team, "name", prefix);
     TeamQuota quota;
-    quota.cpus = optional_number(team, "cpus", prefix);
-    quota.cpus_max = optional_number(team, "cpus_max", prefix);
-    quota.gpus = optional_number(team, "gpus", prefix);
-    quota.gpus_max = optional_number(team, "gpus_max", prefix);
+    quota.guaranteed_cpus = read_optional_number(team, "cpus", prefix);
+    quota.max_cpus = read_optional_number(team, "cpus_max", prefix);
+    quota.guaranteed_gpus = read_optional_number(team, "gpus", prefix);
+    quota.max_gpus = read_optional_number(team, "gpus_max", prefix);
     settings.teams[name] = quota;
   }
 }
@@ -103,7 +103,7 @@
   if (name == "wait") return ObjectiveKind::kWait;
   if (name == "deadline") return ObjectiveKind::kDeadline;
   if (name == "finished") return ObjectiveKind::kFinished;
-  return ObjectiveKind::kOther;
+  return ObjectiveKind::kUnknown;
 }
 
 // Objectives guide decisions only: what this version does not understand is passed over.
@@ -116,71 +116,71 @@
     objective.kind = objective_kind(entry.value("kind", ""));
     objective.job_class = entry.value("class", "");
     objective.within_s = entry.value("within_s", 0.0);
-    objective.share = entry.value("share", 0.0);
-    objective.times = entry.value("times", 1.0);
+    objective.target_share = entry.value("share", 0.0);
+    objective.deadline_factor = entry.value("times", 1.0);
     settings.objectives.push_back(objective);
   }
 }
 
 void parse_workers(const json& workers, PlatformSettings& settings) {
   const std::string prefix = "facts.workers.";
-  settings.report_s = number(workers, "report_s", prefix, kMinFraction);
-  settings.lease_s = number(workers, "lease_s", prefix, kMinFraction);
-  settings.cancel_s = number(workers, "cancel_s", prefix, kMinFraction);
-  settings.gang_wait_s = optional_number(workers, "gang_wait_s", prefix);
-  settings.gang_peer_s = optional_number(workers, "gang_peer_s", prefix);
+  settings.report_s = read_number(workers, "report_s", prefix, kMinFraction);
+  settings.lease_s = read_number(workers, "lease_s", prefix, kMinFraction);
+  settings.cancel_deadline_s = read_number(workers, "cancel_s", prefix, kMinFraction);
+  settings.gang_wait_timeout_s = read_optional_number(workers, "gang_wait_s", prefix);
+  settings.gang_stop_deadline_s = read_optional_number(workers, "gang_peer_s", prefix);
 }
 
 // The limits of the store, and those that it will have after its upgrade if it lowers them.
 void parse_store_limits(const json& state, PlatformSettings& settings) {
   const std::string prefix = "facts.state.";
-  settings.state_rps = number(state, "rps", prefix, 1);
-  settings.state_write_rps = number(state, "write_rps", prefix, 1);
-  double value_kb = number(state, "value_kb", prefix, kMinValueKb);
-  double txn_ops = number(state, "txn_ops", prefix, kMinTxnOps);
-  settings.state_next_write_rps = settings.state_write_rps;
-  settings.state_present_value_bytes = static_cast<size_t>(value_kb * 1024);
+  settings.store_requests_per_s = read_number(state, "rps", prefix, 1);
+  settings.store_writes_per_s = read_number(state, "write_rps", prefix, 1);
+  double value_kb = read_number(state, "value_kb", prefix, kMinValueKb);
+  double txn_ops = read_number(state, "txn_ops", prefix, kMinTxnOps);
+  settings.store_next_writes_per_s = settings.store_writes_per_s;
+  settings.store_current_max_value_bytes = static_cast<size_t>(value_kb * 1024);
   if (auto next = state.find("next"); next != state.end() && next->is_object()) {
     const std::string next_prefix = prefix + "next.";
     if (next->contains("write_rps"))
-      settings.state_next_write_rps =
-          std::min(settings.state_write_rps, number(*next, "write_rps", next_prefix, 1));
+      settings.store_next_writes_per_s =
+          std::min(settings.store_writes_per_s, read_number(*next, "write_rps", next_prefix, 1));
     if (next->contains("value_kb"))
-      value_kb = std::min(value_kb, number(*next, "value_kb", next_prefix, kMinValueKb));
+      value_kb = std::min(value_kb, read_number(*next, "value_kb", next_prefix, kMinValueKb));
     if (next->contains("txn_ops"))
-      txn_ops = std::min(txn_ops, number(*next, "txn_ops", next_prefix, kMinTxnOps));
+      txn_ops = std::min(txn_ops, read_number(*next, "txn_ops", next_prefix, kMinTxnOps));
   }
-  settings.state_value_bytes = static_cast<size_t>(value_kb * 1024);
-  settings.state_txn_ops = static_cast<size_t>(txn_ops);
+  settings.store_max_value_bytes = static_cast<size_t>(value_kb * 1024);
+  settings.store_max_transaction_ops = static_cast<size_t>(txn_ops);
 }
 
 void parse_cloud(const json& cloud, PlatformSettings& settings) {
-  settings.cloud_rps = number(cloud, "rps", "facts.cloud.", kMinFraction);
-  settings.cloud_list_lag_s = number(cloud, "list_lag_s", "facts.cloud.", 0);
+  settings.cloud_calls_per_s = read_number(cloud, "rps", "facts.cloud.", kMinFraction);
+  settings.cloud_list_lag_s = read_number(cloud, "list_lag_s", "facts.cloud.", 0);
 }
 
 void parse_process_limits(const json& resources, PlatformSettings& settings) {
   const std::string prefix = "facts.resources.";
-  settings.cores = number(resources, "cores", prefix, kMinFraction);
-  settings.memory_mb = number(resources, "mem_mb", prefix, 1);
-  settings.max_sockets = static_cast<int>(number(resources, "max_sockets", prefix, kMinSockets));
+  settings.max_cores = read_number(resources, "cores", prefix, kMinFraction);
+  settings.max_memory_mb = read_number(resources, "mem_mb", prefix, 1);
+  settings.max_sockets = static_cast<int>(read_number(resources, "max_sockets", prefix, kMinSockets));
 }
 
 void parse_facts(const json& facts, PlatformSettings& settings) {
-  settings.controllers = static_cast<int>(number(facts, "count", "facts.", 1));
+  settings.controller_count = static_cast<int>(read_number(facts, "count", "facts.", 1));
   parse_zones(facts, settings);
   parse_teams(facts, settings);
   parse_objectives(facts, settings);
-  parse_workers(member(facts, "workers", "facts."), settings);
-  parse_store_limits(member(facts, "state", "facts."), settings);
-  parse_cloud(member(facts, "cloud", "facts."), settings);
-  parse_process_limits(member(facts, "resources", "facts."), settings);
-  settings.clock_error_s = number(facts, "clock_error_ms", "facts.", 0) / 1000;
+  parse_workers(read_member(facts, "workers", "facts."), settings);
+  parse_store_limits(read_member(facts, "state", "facts."), settings);
+  parse_cloud(read_member(facts, "cloud", "facts."), settings);
+  parse_process_limits(read_member(facts, "resources", "facts."), settings);
+  settings.max_clock_error_s = read_number(facts, "clock_error_ms", "facts.", 0) / 1000;
 }
 
 }  // namespace
 
-std::vector<std::string> PlatformSettings::labels() const {
+std::vector<std::string> PlatformSettings::sorted_labels() const {
   std::vector<std::string> sorted{label};
   for (const PeerAddress& peer : peers) sorted.push_back(peer.label);
   std::sort(sorted.begin(), sorted.end());
@@ -195,19 +195,19 @@
   return content.str();
 }
 
-PlatformSettings parse_platform(const std::string& source) {
+PlatformSettings parse_platform_settings(const std::string& source) {
   const json root = json::parse(source, nullptr, false);
   if (!root.is_object()) throw SettingsError(Reason::kMalformed, "settings", "not a JSON object");
   PlatformSettings settings;
-  settings.label = text(root, "label", "");
-  settings.zone = text(root, "site", "");
-  settings.api_address = address(root, "api_addr", "");
-  settings.back_address = address(root, "back", "");
+  settings.label = read_text(root, "label", "");
+  settings.zone = read_text(root, "site", "");
+  settings.api_address = read_address(root, "api_addr", "");
+  settings.peer_address = read_address(root, "back", "");
   parse_peers(root, settings);
-  const json& outside = member(root, "outside", "");
-  settings.cloud_address = address(outside, "cloud", "outside.");
-  settings.state_address = address(outside, "state", "outside.");
-  parse_facts(member(root, "facts", ""), settings);
+  const json& outside = read_member(root, "outside", "");
+  settings.cloud_address = read_address(outside, "cloud", "outside.");
+  settings.store_address = read_address(outside, "state", "outside.");
+  parse_facts(read_member(root, "facts", ""), settings);
   return settings;
 }
 
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -26,15 +26,15 @@
 Client::Client(const PlatformSettings& settings, CallFn call)
     : settings_(settings),
       call_(std::move(call)),
-      requests_(settings.state_rps / settings.controllers),
-      writes_(settings.state_write_rps / settings.controllers),
-      writes_per_s_(settings.state_write_rps / settings.controllers) {}
+      requests_(settings.store_requests_per_s / settings.controller_count),
+      writes_(settings.store_writes_per_s / settings.controller_count),
+      writes_per_s_(settings.store_writes_per_s / settings.controller_count) {}
 
 void Client::tick(double now, int sharers) {
   now_ = now;
   const double share = kUsedShare / std::max(1, sharers);
   writes_per_s_ = write_limit() * share;
-  requests_.set_rate(settings_.state_rps * share);
+  requests_.set_rate(settings_.store_requests_per_s * share);
   writes_.set_rate(writes_per_s_);
   requests_.refill(now);
   writes_.refill(now);
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -79,7 +79,7 @@
   void note_answer(const runtime::CallDone& done);
   TransactionResult transaction_result(const runtime::CallDone& done);
   double write_limit() const {
-    return lowered_ ? settings_.state_next_write_rps : settings_.state_write_rps;
+    return lowered_ ? settings_.store_next_writes_per_s : settings_.store_writes_per_s;
   }
 
   const PlatformSettings& settings_;
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -34,7 +34,7 @@
   void tick();
 
   // What was written since the last call, for the other controllers.
-  std::vector<wire::Update> take_updates() { return std::exchange(updates_, {}); }
+  std::vector<wire::StoreUpdate> take_updates() { return std::exchange(updates_, {}); }
 
  private:
   // The keys of one refresh() are read one after the other.
@@ -55,7 +55,7 @@
   runtime::Context& context_;
   Replica& replica_;
   Client& client_;
-  std::vector<wire::Update> updates_;
+  std::vector<wire::StoreUpdate> updates_;
   std::map<uint64_t, Refresh> refreshes_;
   uint64_t next_id_ = 1;
 };
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -16,8 +16,8 @@
 
 // As many as fit the present limit with the longest names, and a lower one to come with usual ones.
 uint32_t items_per_value(const PlatformSettings& settings, size_t usual_bytes) {
-  const size_t items = std::min(settings.state_present_value_bytes / model::kItemBytes,
-                                settings.state_value_bytes / usual_bytes);
+  const size_t items = std::min(settings.store_current_max_value_bytes / model::kItemBytes,
+                                settings.store_max_value_bytes / usual_bytes);
   return static_cast<uint32_t>(std::max<size_t>(1, items));
 }
 
@@ -36,8 +36,8 @@
 }  // namespace
 
 Replica::Replica(const PlatformSettings& settings)
-    : leases(static_cast<size_t>(settings.controllers)),
-      pages(static_cast<size_t>(settings.controllers)),
+    : leases(static_cast<size_t>(settings.controller_count)),
+      pages(static_cast<size_t>(settings.controller_count)),
       tasks_per_shard_(items_per_value(settings, model::kUsualTaskBytes)),
       machines_per_page_(items_per_value(settings, model::kUsualMachineBytes)) {}
 
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -23,7 +23,7 @@
 // Between two watches, in s: each is a request, and a busy store answers each at once.
 double ReplicaSync::pause() const {
   const auto& p = ctx_.settings.platform;
-  return p.controllers / (kWatchShare * p.state_rps);
+  return p.controller_count / (kWatchShare * p.store_requests_per_s);
 }
 
 template <typename T>
@@ -45,7 +45,7 @@
 }
 
 void ReplicaSync::list(const std::string& after) {
-  busy_ = client_.request("GET", wire::list_path(wire::kPrefix, after), "", kListTimeout,
+  busy_ = client_.request("GET", wire::list_path(wire::kKeyPrefix, after), "", kListTimeout,
                           [this, after](const runtime::CallDone& done) { on_page(done, after); });
   if (!busy_) next_ = ctx_.now.steady + pause();
 }
@@ -65,7 +65,7 @@
     if (item.key == wire::kLeaderKey) leader_seen_ = true;
     replica_.apply(item.key, item.value, item.revision);
   }
-  if (page->more && !page->items.empty() && !page->items.back().key.empty()) {
+  if (page->has_more && !page->items.empty() && !page->items.back().key.empty()) {
     list(page->items.back().key);
     if (!busy_) listed_ = false;  // start again from the first page
     return;
@@ -90,7 +90,7 @@
   const bool resumed = replica_.synced_at < ctx_.resumed_at;
   const double wait = resumed ? 0 : kWatchReports * ctx_.settings.platform.report_s;
   asked_ = ctx_.now.steady;
-  busy_ = client_.request("GET", wire::watch_path(wire::kPrefix, revision_, wait), "",
+  busy_ = client_.request("GET", wire::watch_path(wire::kKeyPrefix, revision_, wait), "",
                           wait + kWatchPatience,
                           [this](const runtime::CallDone& done) { on_watch(done); });
   if (!busy_) next_ = ctx_.now.steady + pause();
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -45,16 +45,16 @@
   machine.type = required<std::string>(value, "build");
   machine.zone = required<std::string>(value, "ward");
   machine.spot = required<bool>(value, "loaners");
-  const auto status = required<std::string>(value, "status");
-  machine.failed = status == "failed";
-  machine.running = status == "running";
+  const auto cloud_status = required<std::string>(value, "status");
+  machine.has_failed = cloud_status == "failed";
+  machine.is_running = cloud_status == "running";
   machine.age_s = field_or<double>(value, "held_s", 0);
   return machine;
 }
 
 MachineListPage read_list(const json& value) {
   MachineListPage page;
-  page.more = field_or<bool>(value, "truncated", false);
+  page.has_more = field_or<bool>(value, "truncated", false);
   for (const auto& machine : member(value, "perches"))
     page.machines.push_back(read_machine(machine));
   return page;
@@ -66,23 +66,23 @@
   return decode_body(body, read_catalog);
 }
 
-Decoded<MachineListPage> parse_list(const std::string& body) {
+Decoded<MachineListPage> parse_machine_list(const std::string& body) {
   return decode_body(body, read_list);
 }
 
-Decoded<std::vector<std::string>> parse_rented(const std::string& body) {
+Decoded<std::vector<std::string>> parse_rented_names(const std::string& body) {
   return decode_body(
       body, [](const json& value) { return required<std::vector<std::string>>(value, "perches"); });
 }
 
-std::string encode_rental(const std::string& request, const std::string& type,
+std::string encode_rental_request(const std::string& request_id, const std::string& type,
                           const std::string& zone, bool spot, int count) {
   return json{
-      {"hire", request}, {"build", type}, {"ward", zone}, {"loaners", spot}, {"how_many", count}}
+      {"hire", request_id}, {"build", type}, {"ward", zone}, {"loaners", spot}, {"how_many", count}}
       .dump();
 }
 
-std::string encode_release(const std::vector<std::string>& names) {
+std::string encode_release_request(const std::vector<std::string>& names) {
   return json{{"perches", names}}.dump();
 }
 
--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -26,25 +26,25 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  bool failed = false;   // with neither this nor `running`: it is booting
-  bool running = false;  // never together with `failed`
+  bool has_failed = false;   // with neither this nor `running`: it is booting
+  bool is_running = false;  // never together with `failed`
   double age_s = 0;      // since it was rented
 };
 
 // A part of the list of rented machines.
 struct MachineListPage {
   std::vector<ListedMachine> machines;
-  bool more = false;  // the list goes on after the last of these
+  bool has_more = false;  // the list goes on after the last of these
 };
 
 Decoded<std::vector<model::MachineType>> parse_catalog(const std::string& body);
-Decoded<MachineListPage> parse_list(const std::string& body);
+Decoded<MachineListPage> parse_machine_list(const std::string& body);
 // The names of the machines that a request rented.
-Decoded<std::vector<std::string>> parse_rented(const std::string& body);
+Decoded<std::vector<std::string>> parse_rented_names(const std::string& body);
 
 // `request` names the request: the cloud answers a repeated one as it answered it the first time.
-std::string encode_rental(const std::string& request, const std::string& type,
+std::string encode_rental_request(const std::string& request_id, const std::string& type,
                           const std::string& zone, bool spot, int count);
-std::string encode_release(const std::vector<std::string>& names);
+std::string encode_release_request(const std::vector<std::string>& names);
 
 }  // namespace rooksill::wire
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -21,33 +21,33 @@
 namespace rooksill::wire {
 
 // What an envelope holds.
-enum class PeerKind : int {
+enum class PeerMessageKind : int {
   kHeartbeat = 1,          // ControllerHeartbeat
-  kUpdates = 2,            // Updates
+  kStoreUpdates = 2,            // Updates
   kRouting = 3,            // RoutingUpdate
   kUnassignedMachine = 4,  // UnassignedMachine
   kMachineStatus = 5,      // MachineStatusUpdate
-  kCancelled = 6           // Cancelled
+  kCancelledJobs = 6           // Cancelled
 };
 
 // What a machine's owner knows of it.
 struct MachineStatus {
   std::string name;
-  bool up = false;                  // has reported to this owner
-  bool draining = false;            // takes no new tasks; those there move away
-  bool silent = false;              // does not report any more
-  bool faulty = false;              // tasks of several jobs failed there
-  bool termination_notice = false;  // the cloud is going to take it away
+  bool is_up = false;                  // has reported to this owner
+  bool is_draining = false;            // takes no new tasks; those there move away
+  bool is_unreachable = false;              // does not report any more
+  bool is_faulty = false;              // tasks of several jobs failed there
+  bool has_termination_notice = false;  // the cloud is going to take it away
   // What is free of it, tasks that are on their way counted.
   double cpus_free = 0;
   double gpus_free = 0;
-  double memory_free = 0;                   // GB
-  double load = 0;                          // share of the machine in use
-  uint32_t tasks = 0;                       // there
+  double memory_free_gb = 0;                   // GB
+  double utilization = 0;                          // share of the machine in use
+  uint32_t task_count = 0;                       // there
   std::vector<std::string> images;          // in its cache
   std::array<float, 4> cpus_by_priority{};  // of tasks there that are not being stopped
-  MSGPACK_DEFINE_ARRAY(name, up, draining, silent, faulty, termination_notice, cpus_free, gpus_free,
-                       memory_free, load, tasks, images, cpus_by_priority)
+  MSGPACK_DEFINE_ARRAY(name, is_up, is_draining, is_unreachable, is_faulty, has_termination_notice, cpus_free, gpus_free,
+                       memory_free_gb, utilization, task_count, images, cpus_by_priority)
   bool operator==(const MachineStatus&) const = default;
 };
 
@@ -67,7 +67,7 @@
 };
 
 // Where a machine's worker listens.
-struct Address {
+struct MachineAddress {
   std::string machine;
   std::string address;
   MSGPACK_DEFINE_ARRAY(machine, address)
@@ -78,9 +78,9 @@
 struct CancellationAck {
   std::string label;         // of the other controller
   uint64_t incarnation = 0;  // of its process
-  uint64_t cancelled = 0;
+  uint64_t cancellation_count = 0;
   double sent_at = 0;  // by the other controller's steady clock
-  MSGPACK_DEFINE_ARRAY(label, incarnation, cancelled, sent_at)
+  MSGPACK_DEFINE_ARRAY(label, incarnation, cancellation_count, sent_at)
 };
 
 // What a team's tasks use of its quota in a partition, decisions under way counted.
@@ -93,37 +93,37 @@
 };
 
 struct ControllerHeartbeat {
-  bool ready = false;                          // it has a replica of the store
-  bool store_ok = false;                       // the store answers it
+  bool is_ready = false;                          // it has a replica of the store
+  bool is_store_available = false;                       // the store answers it
   bool suspects_itself = false;                // nearly all of its machines are silent
   uint64_t term = 0;                           // it leads in this term; 0: it does not
-  std::vector<Address> addresses;              // lately learned, and some others in turn
+  std::vector<MachineAddress> addresses;              // lately learned, and some others in turn
   std::vector<std::string> unreachable_zones;  // whose machines it cannot reach
-  double store_age = 1e9;                      // s since the store last answered it
+  double store_answer_age_s = 1e9;                      // s since the store last answered it
   double sent_at = -1e9;                       // by the sender's steady clock
-  uint64_t cancelled = 0;                      // cancellations that it has learned of, in all
+  uint64_t cancellation_count = 0;                      // cancellations that it has learned of, in all
   // Of an older form without these, a heartbeat vouches for no cancellation.
-  std::vector<CancellationAck> heard;
+  std::vector<CancellationAck> cancellation_acks;
   std::vector<QuotaUse> quota_use;  // of teams with a limit, in the partitions it owns
-  MSGPACK_DEFINE_ARRAY(ready, store_ok, suspects_itself, term, addresses, unreachable_zones,
-                       store_age, sent_at, cancelled, heard, quota_use)
+  MSGPACK_DEFINE_ARRAY(is_ready, is_store_available, suspects_itself, term, addresses, unreachable_zones,
+                       store_answer_age_s, sent_at, cancellation_count, cancellation_acks, quota_use)
 };
 
 // A key of the store that the sender has changed.
-struct Update {
+struct StoreUpdate {
   std::string key;
   std::string value;  // JSON; empty: the key was deleted
   model::Revision revision = model::kNoRevision;
   MSGPACK_DEFINE_ARRAY(key, value, revision)
 };
 
-struct Updates {
-  std::vector<Update> items;
+struct StoreUpdates {
+  std::vector<StoreUpdate> items;
   MSGPACK_DEFINE_ARRAY(items)
 };
 
 // Jobs that the sender has learned to be cancelled, numbered from `first` by its process.
-struct Cancelled {
+struct CancelledJobs {
   uint64_t first = 1;
   std::vector<std::string> jobs;
   MSGPACK_DEFINE_ARRAY(first, jobs)
@@ -158,12 +158,12 @@
 // From the leader to the owner of partitions.
 struct RoutingUpdate {
   uint64_t term = 0;               // the leader's
-  bool full = false;               // replaces what was routed before
+  bool is_full = false;               // replaces what was routed before
   std::vector<ShardRoute> routes;  // shards to place
-  std::vector<std::string> drain;  // machines to empty
+  std::vector<std::string> machines_to_drain;  // machines to empty
   std::vector<TaskMove> moves;     // tasks to move
   std::vector<QuotaTransfer> transfers;
-  MSGPACK_DEFINE_ARRAY(term, full, routes, drain, moves, transfers)
+  MSGPACK_DEFINE_ARRAY(term, is_full, routes, machines_to_drain, moves, transfers)
 };
 
 // A worker that reported without being in any partition.
@@ -197,14 +197,14 @@
 
 // Bounds on what a message may make its receiver allocate.
 inline constexpr size_t kMaxElements = 100000;    // of an array or a map
-inline constexpr size_t kMaxBytes = 1 << 20;      // of a string or of binary data
-inline constexpr size_t kMaxExtension = 1 << 16;  // bytes
-inline constexpr size_t kMaxDepth = 16;
+inline constexpr size_t kMaxStringBytes = 1 << 20;      // of a string or of binary data
+inline constexpr size_t kMaxExtensionBytes = 1 << 16;  // bytes
+inline constexpr size_t kMaxNestingDepth = 16;
 
 template <typename T>
 Decoded<T> unpack(const std::string& bytes) try {
-  const msgpack::unpack_limit limit(kMaxElements, kMaxElements, kMaxBytes, kMaxBytes, kMaxExtension,
-                                    kMaxDepth);
+  const msgpack::unpack_limit limit(kMaxElements, kMaxElements, kMaxStringBytes, kMaxStringBytes, kMaxExtensionBytes,
+                                    kMaxNestingDepth);
   const msgpack::object_handle handle =
       msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
   T value;
--- a/src/rooksill/wire/json_fields.cc
+++ b/src/rooksill/wire/json_fields.cc
@@ -5,12 +5,12 @@
 using nlohmann::json;
 
 namespace {
-constexpr size_t kLongestShown = 60;  // bytes of a value that an error repeats
+constexpr size_t kMaxShownBytes = 60;  // bytes of a value that an error repeats
 }
 
-std::string shortened(const json& value) {
+std::string truncated_text(const json& value) {
   std::string text = value.dump(-1, ' ', true, json::error_handler_t::replace);
-  if (text.size() > kLongestShown) text = text.substr(0, kLongestShown) + "...";
+  if (text.size() > kMaxShownBytes) text = text.substr(0, kMaxShownBytes) + "...";
   return text;
 }
 
@@ -21,7 +21,7 @@
 }
 
 const json& member(const json& object, const char* field) {
-  if (!object.is_object()) throw FieldError{field, "not in a JSON object", shortened(object)};
+  if (!object.is_object()) throw FieldError{field, "not in a JSON object", truncated_text(object)};
   const auto it = object.find(field);
   if (it == object.end()) throw FieldError{field, "missing", ""};
   return *it;
--- a/src/rooksill/wire/json_fields.h
+++ b/src/rooksill/wire/json_fields.h
@@ -19,7 +19,7 @@
 };
 
 // A value's text, shortened so that it fits a log line.
-std::string shortened(const nlohmann::json& value);
+std::string truncated_text(const nlohmann::json& value);
 
 // The object that a body holds.
 nlohmann::json parse_object(const std::string& body);
@@ -32,7 +32,7 @@
 T convert(const nlohmann::json& value, const char* field) try {
   return value.get<T>();
 } catch (const nlohmann::json::exception&) {
-  throw FieldError{field, "wrong type", shortened(value)};
+  throw FieldError{field, "wrong type", truncated_text(value)};
 }
 
 // A field that has to be there.
@@ -44,7 +44,7 @@
 // A field that may be left out, but is not null.
 template <typename T>
 T field_or(const nlohmann::json& object, const char* field, T fallback) {
-  if (!object.is_object()) throw FieldError{field, "not in a JSON object", shortened(object)};
+  if (!object.is_object()) throw FieldError{field, "not in a JSON object", truncated_text(object)};
   const auto it = object.find(field);
   return it == object.end() ? fallback : convert<T>(*it, field);
 }
--- a/src/rooksill/wire/names.h
+++ b/src/rooksill/wire/names.h
@@ -9,10 +9,10 @@
 namespace rooksill::wire {
 
 // A job's id is "wk-" and digits, 64 bytes at most.
-bool valid_job_id(const std::string& id);
+bool is_valid_job_id(const std::string& id);
 
 // Whether a team's name may be part of a key of the store, and of the path that reads the key.
-bool valid_team_name(const std::string& team);
+bool is_valid_team_name(const std::string& team);
 
 // "JOB/INDEX".
 std::string task_name(const model::TaskRef& task);
--- a/src/rooksill/wire/store_keys.cc
+++ b/src/rooksill/wire/store_keys.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-DecodeError bad_key(const std::string& key, std::string reason) {
+DecodeError key_error(const std::string& key, std::string reason) {
   return {Interface::kStoreRecord, "key", std::move(reason), key};
 }
 
 // The number that all of the text is.
 template <typename Number>
-std::optional<Number> whole_number(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
   Number number = 0;
   const char* end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, number);
@@ -24,7 +24,7 @@
 }
 
 // The number that the text begins with.
-std::optional<int> leading_number(std::string_view text) {
+std::optional<int> parse_leading_number(std::string_view text) {
   int number = -1;
   const auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || number < 0) return std::nullopt;
@@ -34,17 +34,17 @@
 // "JOB/SHARD".
 Decoded<StoreKey> parse_shard_key(const std::string& key, const std::string& rest) {
   const auto slash = rest.rfind('/');
-  if (slash == std::string::npos) return bad_key(key, "no shard");
-  const auto shard = whole_number<uint32_t>(std::string_view(rest).substr(slash + 1));
-  if (!shard) return bad_key(key, "bad number of a shard");
+  if (slash == std::string::npos) return key_error(key, "no shard");
+  const auto shard = parse_number<uint32_t>(std::string_view(rest).substr(slash + 1));
+  if (!shard) return key_error(key, "bad number of a shard");
   StoreKey parsed{KeyKind::kShard, rest.substr(0, slash)};
   parsed.shard = *shard;
   return parsed;
 }
 
 Decoded<StoreKey> parse_lease_key(const std::string& key, const std::string& rest) {
-  const auto partition = leading_number(rest);
-  if (!partition) return bad_key(key, "bad number of a partition");
+  const auto partition = parse_leading_number(rest);
+  if (!partition) return key_error(key, "bad number of a partition");
   StoreKey parsed{KeyKind::kLease};
   parsed.partition = *partition;
   return parsed;
@@ -53,10 +53,10 @@
 // "PARTITION/PAGE".
 Decoded<StoreKey> parse_machines_key(const std::string& key, const std::string& rest) {
   const auto slash = rest.find('/');
-  if (slash == std::string::npos) return bad_key(key, "no page");
-  const auto partition = whole_number<int>(std::string_view(rest).substr(0, slash));
-  const auto page = whole_number<int>(std::string_view(rest).substr(slash + 1));
-  if (!partition || !page) return bad_key(key, "bad number of a partition or page");
+  if (slash == std::string::npos) return key_error(key, "no page");
+  const auto partition = parse_number<int>(std::string_view(rest).substr(0, slash));
+  const auto page = parse_number<int>(std::string_view(rest).substr(slash + 1));
+  if (!partition || !page) return key_error(key, "bad number of a partition or page");
   StoreKey parsed{KeyKind::kMachines};
   parsed.partition = *partition;
   parsed.page = *page;
@@ -65,29 +65,29 @@
 
 }  // namespace
 
-std::string job_key(const std::string& id) { return kPrefix + "j/" + id; }
+std::string job_key(const std::string& id) { return kKeyPrefix + "j/" + id; }
 std::string shard_key(const std::string& id, uint32_t shard) {
-  return kPrefix + "t/" + id + "/" + std::to_string(shard);
+  return kKeyPrefix + "t/" + id + "/" + std::to_string(shard);
 }
-std::string lease_key(int partition) { return kPrefix + "l/" + std::to_string(partition); }
+std::string lease_key(int partition) { return kKeyPrefix + "l/" + std::to_string(partition); }
 std::string machines_key(int partition, int page) {
-  return kPrefix + "m/" + std::to_string(partition) + "/" + std::to_string(page);
+  return kKeyPrefix + "m/" + std::to_string(partition) + "/" + std::to_string(page);
 }
-std::string liveness_key(const std::string& label) { return kPrefix + "n/" + label; }
-std::string version_key(const std::string& label) { return kPrefix + "v/" + label; }
-std::string quota_key(const std::string& team) { return kPrefix + "q/" + team; }
-std::string type_key(const std::string& name) { return kPrefix + "c/" + name; }
+std::string liveness_key(const std::string& label) { return kKeyPrefix + "n/" + label; }
+std::string version_key(const std::string& label) { return kKeyPrefix + "v/" + label; }
+std::string quota_key(const std::string& team) { return kKeyPrefix + "q/" + team; }
+std::string type_key(const std::string& name) { return kKeyPrefix + "c/" + name; }
 
 Decoded<StoreKey> parse_store_key(const std::string& key) {
   if (key == kLeaderKey) return StoreKey{KeyKind::kLeader};
   if (key == kTermKey) return StoreKey{KeyKind::kTerm};
   if (key == kUpgradeKey) return StoreKey{KeyKind::kUpgrade};
-  const size_t name_at = kPrefix.size() + 2;
-  if (key.compare(0, kPrefix.size(), kPrefix) != 0 || key.size() <= name_at ||
-      key[name_at - 1] != '/')
-    return bad_key(key, "not a key of this service");
-  const std::string name = key.substr(name_at);
-  switch (key[kPrefix.size()]) {
+  const size_t name_offset = kKeyPrefix.size() + 2;
+  if (key.compare(0, kKeyPrefix.size(), kKeyPrefix) != 0 || key.size() <= name_offset ||
+      key[name_offset - 1] != '/')
+    return key_error(key, "not a key of this service");
+  const std::string name = key.substr(name_offset);
+  switch (key[kKeyPrefix.size()]) {
     case 'j':
       return StoreKey{KeyKind::kJob, name};
     case 't':
@@ -105,7 +105,7 @@
     case 'c':
       return StoreKey{KeyKind::kMachineType, name};
     default:
-      return bad_key(key, "unknown kind of record");
+      return key_error(key, "unknown kind of record");
   }
 }
 
--- a/src/rooksill/wire/store_keys.h
+++ b/src/rooksill/wire/store_keys.h
@@ -22,7 +22,7 @@
 namespace rooksill::wire {
 
 // All keys begin with this, so that one watch shows all of them.
-inline const std::string kPrefix = "rk/";
+inline const std::string kKeyPrefix = "rk/";
 inline const std::string kLeaderKey = "rk/lead";
 inline const std::string kTermKey = "rk/term";
 inline const std::string kUpgradeKey = "rk/upgrade";
--- a/src/rooksill/wire/store_protocol_codec.cc
+++ b/src/rooksill/wire/store_protocol_codec.cc
@@ -21,7 +21,7 @@
 
 uint64_t required_unsigned(const json& object, const char* field) {
   const json& value = member(object, field);
-  if (!value.is_number_unsigned()) throw FieldError{field, "not a number", shortened(value)};
+  if (!value.is_number_unsigned()) throw FieldError{field, "not a number", truncated_text(value)};
   return value.get<uint64_t>();
 }
 
@@ -48,19 +48,19 @@
   return entry.is_object() && entry.contains("delete") && entry["delete"].is_string();
 }
 
-model::Revision stamp(const json& entry) {
+model::Revision entry_revision(const json& entry) {
   return field_or<model::Revision>(entry, "stamp", model::kNoRevision);
 }
 
 StoreListPage read_list_page(json object) {
   StoreListPage page;
   page.revision = required_revision(object, "epoch");
-  page.more = field_or<bool>(object, "truncated", false);
+  page.has_more = field_or<bool>(object, "truncated", false);
   if (!member(object, "items").is_array()) throw FieldError{"items", "not a list", ""};
   for (auto& entry : object["items"])
     if (is_item(entry))
       page.items.push_back(
-          {field_or<std::string>(entry, "k", ""), std::move(entry["v"]), stamp(entry)});
+          {field_or<std::string>(entry, "k", ""), std::move(entry["v"]), entry_revision(entry)});
   return page;
 }
 
@@ -71,10 +71,10 @@
   if (news == object.end() || !news->is_array()) return answer;
   for (auto& entry : *news) {
     if (is_put(entry)) {
-      StoreItem item{entry["put"].get<std::string>(), std::move(entry["v"]), stamp(entry)};
+      StoreItem item{entry["put"].get<std::string>(), std::move(entry["v"]), entry_revision(entry)};
       answer.changes.push_back({StoreChange::Kind::kPut, std::move(item)});
     } else if (is_delete(entry)) {
-      StoreItem item{entry["delete"].get<std::string>(), nullptr, stamp(entry)};
+      StoreItem item{entry["delete"].get<std::string>(), nullptr, entry_revision(entry)};
       answer.changes.push_back({StoreChange::Kind::kDelete, std::move(item)});
     }
   }
@@ -88,7 +88,7 @@
 Decoded<std::vector<std::string>> decode_conflict(const std::string& body) {
   return decode_body(body, [](const json& object) {
     const json& failed = member(object, "failed");
-    if (!failed.is_array()) throw FieldError{"failed", "not a list", shortened(failed)};
+    if (!failed.is_array()) throw FieldError{"failed", "not a list", truncated_text(failed)};
     std::vector<std::string> keys;
     for (const auto& key : failed)
       if (key.is_string()) keys.push_back(key.get<std::string>());
@@ -123,11 +123,11 @@
   } else if (status == kConflictStatus) {
     if (auto failed = decode_conflict(body)) {
       result.outcome = TransactionOutcome::kConflict;
-      result.failed = std::move(*failed);
+      result.conflicting_keys = std::move(*failed);
     }
   } else if (status == kBadRequest) {
     const bool no_lease = body.find("no such lease") != std::string::npos;
-    result.outcome = no_lease ? TransactionOutcome::kNoLease : TransactionOutcome::kTooLarge;
+    result.outcome = no_lease ? TransactionOutcome::kLeaseExpired : TransactionOutcome::kTooLarge;
   }
   return result;
 }
@@ -153,9 +153,9 @@
   return decode_body(body, read_list_page);
 }
 
-std::string watch_path(const std::string& prefix, model::Revision from, double wait_s) {
+std::string watch_path(const std::string& prefix, model::Revision from, double timeout_s) {
   return "/watch?starts=" + prefix + "&from=" + std::to_string(model::number(from)) +
-         "&hold_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
+         "&hold_ms=" + std::to_string(static_cast<int>(timeout_s * 1000));
 }
 
 Decoded<WatchAnswer> decode_watch(const std::string& body) { return decode_body(body, read_watch); }
--- a/src/rooksill/wire/store_protocol_codec.h
+++ b/src/rooksill/wire/store_protocol_codec.h
@@ -41,13 +41,13 @@
   kRefused,   // not executed: over a rate (429), unavailable (503), or no connection was made
   kTooLarge,  // not executed: a value or the transaction is over the limits, or malformed
   kUnknown,   // no answer: it may have been, or may yet be, executed
-  kNoLease    // not executed: the lease of a write has ended
+  kLeaseExpired    // not executed: the lease of a write has ended
 };
 
 struct TransactionResult {
   TransactionOutcome outcome = TransactionOutcome::kUnknown;
   model::Revision revision = model::kNoRevision;
-  std::vector<std::string> failed;
+  std::vector<std::string> conflicting_keys;
 };
 
 inline const std::string kTransactionPath = "/txn";
@@ -73,7 +73,7 @@
 
 struct StoreListPage {
   std::vector<StoreItem> items;
-  bool more = false;         // the list goes on after the last of these
+  bool has_more = false;         // the list goes on after the last of these
   model::Revision revision;  // of the store when the list was made
 };
 
@@ -92,7 +92,7 @@
 };
 
 // The changes after `from` to keys with the prefix. The store waits so long for the first one.
-std::string watch_path(const std::string& prefix, model::Revision from, double wait_s);
+std::string watch_path(const std::string& prefix, model::Revision from, double timeout_s);
 Decoded<WatchAnswer> decode_watch(const std::string& body);
 
 // ---- leases ---------------------------------------------------------------------------------
--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -44,7 +44,7 @@
 }
 
 bool take_list(const Line&, const std::string& text) {
-  return rooksill::wire::parse_list(text).has_value();
+  return rooksill::wire::parse_machine_list(text).has_value();
 }
 
 bool take_catalog(const Line&, const std::string& text) {
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -28,24 +28,24 @@
   auto unpacked = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
   if (!unpacked) return "";
   rooksill::wire::Envelope& envelope = *unpacked;
-  switch (static_cast<rooksill::wire::PeerKind>(envelope.kind)) {
-    case rooksill::wire::PeerKind::kHeartbeat:
+  switch (static_cast<rooksill::wire::PeerMessageKind>(envelope.kind)) {
+    case rooksill::wire::PeerMessageKind::kHeartbeat:
       envelope.payload = written_again<rooksill::wire::ControllerHeartbeat>(envelope.payload);
       break;
-    case rooksill::wire::PeerKind::kUpdates:
-      envelope.payload = written_again<rooksill::wire::Updates>(envelope.payload);
+    case rooksill::wire::PeerMessageKind::kStoreUpdates:
+      envelope.payload = written_again<rooksill::wire::StoreUpdates>(envelope.payload);
       break;
-    case rooksill::wire::PeerKind::kRouting:
+    case rooksill::wire::PeerMessageKind::kRouting:
       envelope.payload = written_again<rooksill::wire::RoutingUpdate>(envelope.payload);
       break;
-    case rooksill::wire::PeerKind::kUnassignedMachine:
+    case rooksill::wire::PeerMessageKind::kUnassignedMachine:
       envelope.payload = written_again<rooksill::wire::UnassignedMachine>(envelope.payload);
       break;
-    case rooksill::wire::PeerKind::kMachineStatus:
+    case rooksill::wire::PeerMessageKind::kMachineStatus:
       envelope.payload = written_again<rooksill::wire::MachineStatusUpdate>(envelope.payload);
       break;
-    case rooksill::wire::PeerKind::kCancelled:
-      envelope.payload = written_again<rooksill::wire::Cancelled>(envelope.payload);
+    case rooksill::wire::PeerMessageKind::kCancelledJobs:
+      envelope.payload = written_again<rooksill::wire::CancelledJobs>(envelope.payload);
       break;
   }
   return rooksill::wire::pack(envelope);
--- a/tests/runner/settings.cc
+++ b/tests/runner/settings.cc
@@ -28,11 +28,11 @@
 
 void check(const Line& line, const rooksill::PlatformSettings& s) {
   if (line.parameters.count("is.value_bytes") != 0)
-    near(line, static_cast<double>(s.state_value_bytes), line.get("is.value_bytes", 0), 0);
+    near(line, static_cast<double>(s.store_max_value_bytes), line.get("is.value_bytes", 0), 0);
   if (line.parameters.count("is.txn_ops") != 0)
-    near(line, static_cast<double>(s.state_txn_ops), line.get("is.txn_ops", 0), 0);
+    near(line, static_cast<double>(s.store_max_transaction_ops), line.get("is.txn_ops", 0), 0);
   if (line.parameters.count("is.next_write_rps") != 0)
-    near(line, s.state_next_write_rps, line.get("is.next_write_rps", 0), 0);
+    near(line, s.store_next_writes_per_s, line.get("is.next_write_rps", 0), 0);
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
     }
     std::string refused;
     try {
-      check(line, rooksill::parse_platform(settings.dump()));
+      check(line, rooksill::parse_platform_settings(settings.dump()));
     } catch (const rooksill::SettingsError& error) {
       refused = error.what();
     }
--- a/tests/standins/deployment_settings.cc
+++ b/tests/standins/deployment_settings.cc
@@ -10,31 +10,31 @@
 
 void set_store_limits(PlatformSettings& platform, const StoreLimits& present,
                       const StoreLimits& coming) {
-  platform.state_write_rps = present.writes_per_s;
-  platform.state_next_write_rps = coming.writes_per_s;
-  platform.state_txn_ops = coming.transaction_writes;
-  platform.state_present_value_bytes = present.value_bytes;
-  platform.state_value_bytes = coming.value_bytes;
+  platform.store_writes_per_s = present.writes_per_s;
+  platform.store_next_writes_per_s = coming.writes_per_s;
+  platform.store_max_transaction_ops = coming.transaction_writes;
+  platform.store_current_max_value_bytes = present.value_bytes;
+  platform.store_max_value_bytes = coming.value_bytes;
 }
 
 PlatformSettings make_platform(size_t controller, const WorldOptions& options,
                                const std::vector<std::string>& zones, const TeamQuotas& teams) {
   PlatformSettings platform;
   platform.label = label_of(controller);
-  platform.state_address = "state:1";
+  platform.store_address = "state:1";
   platform.cloud_address = "cloud:1";
   for (size_t i = 0; i < options.controllers; ++i)
     if (i != controller) platform.peers.push_back({label_of(i), label_of(i) + ":2"});
-  platform.controllers = static_cast<int>(options.controllers);
+  platform.controller_count = static_cast<int>(options.controllers);
   platform.zones = zones;
   for (const auto& [name, quota] : teams) platform.teams[name] = {quota.cpus, quota.cpus_max, 0, 0};
   platform.report_s = options.heartbeat_s;
   platform.lease_s = options.lease_s;
-  platform.cancel_s = options.cancel_s;
-  platform.gang_wait_s = options.gang_wait_s;
-  platform.gang_peer_s = options.gang_peer_s;
-  platform.state_rps = options.store_requests_per_s;
-  platform.cloud_rps = options.cloud_requests_per_s;
+  platform.cancel_deadline_s = options.cancel_s;
+  platform.gang_wait_timeout_s = options.gang_wait_s;
+  platform.gang_stop_deadline_s = options.gang_peer_s;
+  platform.store_requests_per_s = options.store_requests_per_s;
+  platform.cloud_calls_per_s = options.cloud_requests_per_s;
   platform.cloud_list_lag_s = options.cloud_list_lag_s;
   return platform;
 }
