--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -43,7 +43,8 @@
   return value;
 }
 
-double read_number(const json& object, const char* name, const std::string& prefix, double minimum) {
+double read_number(const json& object, const char* name, const std::string& prefix,
+                   double minimum) {
   const json& value = read_member(object, name, prefix);
   if (!value.is_number() || !std::isfinite(value.get<double>()) || value.get<double>() < minimum)
     throw SettingsError(Reason::kTooSmall, prefix + name,
@@ -163,7 +164,8 @@
   const std::string prefix = "facts.resources.";
   settings.max_cores = read_number(resources, "cores", prefix, kMinFraction);
   settings.max_memory_mb = read_number(resources, "mem_mb", prefix, 1);
-  settings.max_sockets = static_cast<int>(read_number(resources, "max_sockets", prefix, kMinSockets));
+  settings.max_sockets =
+      static_cast<int>(read_number(resources, "max_sockets", prefix, kMinSockets));
 }
 
 void parse_facts(const json& facts, PlatformSettings& settings) {
--- a/src/rooksill/settings/settings.h
+++ b/src/rooksill/settings/settings.h
@@ -29,7 +29,7 @@
   kWait,      // started within `within_s` of the submission
   kDeadline,  // done within `times` the time up to the deadline that the user set
   kFinished,  // done within `within_s` of the submission
-  kUnknown,     // not known to this version, and ignored
+  kUnknown,   // not known to this version, and ignored
 };
 
 struct Objective {
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Decodes the object that a body holds.
+// Decodes a body that holds a JSON object with `read`.
 template <typename Read>
 auto decode_body(const std::string& body, Read read) {
   return decode_with(Interface::kCloud, [&] { return read(parse_object(body)); });
@@ -76,7 +76,7 @@
 }
 
 std::string encode_rental_request(const std::string& request_id, const std::string& type,
-                          const std::string& zone, bool spot, int count) {
+                                  const std::string& zone, bool spot, int count) {
   return json{
       {"hire", request_id}, {"build", type}, {"ward", zone}, {"loaners", spot}, {"how_many", count}}
       .dump();
--- a/src/rooksill/wire/json_fields.cc
+++ b/src/rooksill/wire/json_fields.cc
@@ -5,7 +5,7 @@
 using nlohmann::json;
 
 namespace {
-constexpr size_t kMaxShownBytes = 60;  // bytes of a value that an error repeats
+constexpr size_t kMaxShownBytes = 60;  // of a value quoted in an error
 }
 
 std::string truncated_text(const json& value) {
--- a/src/rooksill/wire/json_fields.h
+++ b/src/rooksill/wire/json_fields.h
@@ -1,6 +1,6 @@
-// How the codecs of this package take fields out of JSON. Inside a decoder a fault is thrown as a
-// FieldError, so that each field takes one line; decode_with() turns it into the DecodeError that
-// the decoder returns. Nothing outside this package uses this header.
+// Helpers with which the codecs of this package read fields from JSON. Inside a decoder errors are
+// thrown as FieldError, so that reading a field takes one line; decode_with() converts them to the
+// DecodeError that the decoder returns. This header is private to the package.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,22 +12,23 @@
 
 namespace rooksill::wire {
 
+// Thrown when a field is missing or invalid.
 struct FieldError {
-  std::string field;   // empty: the message as a whole
+  std::string field;   // empty: the error concerns the whole message
   std::string reason;  // as in DecodeError
   std::string value;   // as in DecodeError
 };
 
-// A value's text, shortened so that it fits a log line.
+// Returns a value as JSON text, truncated to fit a log line.
 std::string truncated_text(const nlohmann::json& value);
 
-// The object that a body holds.
+// Parses a body as a JSON object. Throws FieldError if it is anything else.
 nlohmann::json parse_object(const std::string& body);
 
-// An object's field, of whatever type.
+// Returns a field of an object, whatever its type. Throws FieldError if it is missing.
 const nlohmann::json& member(const nlohmann::json& object, const char* field);
 
-// A value as a T, for the field that it stands in.
+// Converts a value to T. Throws FieldError that names `field` if the type does not match.
 template <typename T>
 T convert(const nlohmann::json& value, const char* field) try {
   return value.get<T>();
@@ -35,13 +36,13 @@
   throw FieldError{field, "wrong type", truncated_text(value)};
 }
 
-// A field that has to be there.
+// Returns a required field as T. Throws FieldError if it is missing or of another type.
 template <typename T>
 T required(const nlohmann::json& object, const char* field) {
   return convert<T>(member(object, field), field);
 }
 
-// A field that may be left out, but is not null.
+// Returns an optional field as T, or `fallback` if it is absent. A null field is an error.
 template <typename T>
 T field_or(const nlohmann::json& object, const char* field, T fallback) {
   if (!object.is_object()) throw FieldError{field, "not in a JSON object", truncated_text(object)};
@@ -49,7 +50,7 @@
   return it == object.end() ? fallback : convert<T>(*it, field);
 }
 
-// What `decode` returns, or the fault that it threw.
+// Calls `decode` and returns its result, or the exception that it threw as a DecodeError.
 template <typename Decode>
 Decoded<std::invoke_result_t<Decode>> decode_with(Interface interface, Decode decode) try {
   return decode();
--- a/src/rooksill/wire/names.h
+++ b/src/rooksill/wire/names.h
@@ -1,4 +1,4 @@
-// Names of jobs, tasks and teams as text: their form is the same on all interfaces.
+// Textual names of jobs, tasks and teams. Their format is the same on all interfaces.
 #pragma once
 
 #include <optional>
@@ -8,15 +8,16 @@
 
 namespace rooksill::wire {
 
-// A job's id is "wk-" and digits, 64 bytes at most.
+// Returns whether a job id is valid: "wk-" followed by digits, at most 64 bytes in total.
 bool is_valid_job_id(const std::string& id);
 
-// Whether a team's name may be part of a key of the store, and of the path that reads the key.
+// Returns whether a team name can be part of a store key, and thus of the URL path that reads the
+// key.
 bool is_valid_team_name(const std::string& team);
 
-// "JOB/INDEX".
+// Returns the name of a task: "JOB/INDEX".
 std::string task_name(const model::TaskRef& task);
-// Nothing unless the text is the name of a task of a job with a valid id.
+// Parses a task name. Returns nullopt if it is malformed or the job id is invalid.
 std::optional<model::TaskRef> parse_task_name(const std::string& name);
 
 }  // namespace rooksill::wire
--- a/src/rooksill/wire/store_protocol_codec.h
+++ b/src/rooksill/wire/store_protocol_codec.h
@@ -36,12 +36,12 @@
 };
 
 enum class TransactionOutcome {
-  kApplied,   // executed; `revision` is that of its writes
-  kConflict,  // not executed: the preconditions on the keys in `failed` did not hold
-  kRefused,   // not executed: over a rate (429), unavailable (503), or no connection was made
-  kTooLarge,  // not executed: a value or the transaction is over the limits, or malformed
-  kUnknown,   // no answer: it may have been, or may yet be, executed
-  kLeaseExpired    // not executed: the lease of a write has ended
+  kApplied,      // executed; `revision` is that of its writes
+  kConflict,     // not executed: the preconditions on the keys in `failed` did not hold
+  kRefused,      // not executed: over a rate (429), unavailable (503), or no connection was made
+  kTooLarge,     // not executed: a value or the transaction is over the limits, or malformed
+  kUnknown,      // no answer: it may have been, or may yet be, executed
+  kLeaseExpired  // not executed: the lease of a write has ended
 };
 
 struct TransactionResult {
@@ -73,7 +73,7 @@
 
 struct StoreListPage {
   std::vector<StoreItem> items;
-  bool has_more = false;         // the list goes on after the last of these
+  bool has_more = false;     // the list goes on after the last of these
   model::Revision revision;  // of the store when the list was made
 };
 
--- a/src/rooksill/wire/user_codec.cc
+++ b/src/rooksill/wire/user_codec.cc
@@ -91,7 +91,8 @@
 std::vector<std::string> read_types(const json& object) {
   const json* builds = find_field(object, "builds");
   if (builds == nullptr) return {};
-  if (!builds->is_array() || builds->empty() || builds->size() > kMaxTypes) throw invalid_field("builds");
+  if (!builds->is_array() || builds->empty() || builds->size() > kMaxTypes)
+    throw invalid_field("builds");
   std::vector<std::string> types;
   for (const auto& type : *builds) types.push_back(to_text(type, "builds"));
   return types;
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -101,7 +101,7 @@
 }
 
 std::string encode_heartbeat_answer(model::FencingToken fencing_token,
-                          const std::vector<WorkerCommand>& commands) {
+                                    const std::vector<WorkerCommand>& commands) {
   return json{{"baton", fencing_token}, {"orders", encode_command_list(commands)}}.dump();
 }
 
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -81,7 +81,7 @@
 
 // The answer to a heartbeat.
 std::string encode_heartbeat_answer(model::FencingToken fencing_token,
-                          const std::vector<WorkerCommand>& commands);
+                                    const std::vector<WorkerCommand>& commands);
 // Commands sent to a worker, which refuses them in another agent epoch.
 std::string encode_commands(model::FencingToken fencing_token, uint64_t agent_epoch,
                             const std::vector<WorkerCommand>& commands);
