--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -9,7 +9,7 @@
 //   list:       perches -> machines, truncated -> has_more
 //   a machine:  id -> name, address, build -> type, ward -> zone, loaners -> spot,
 //               status -> has_failed or is_running, held_s -> age s
-//   rental:     hire -> request, build -> type, ward -> zone, loaners -> spot, how_many -> count
+//   rental:     hire -> request id, build -> type, ward -> zone, loaners -> spot, how_many -> count
 //   rented and release:  perches -> machine names
 #pragma once
 
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -120,7 +120,7 @@
   MSGPACK_DEFINE_ARRAY(key, value, revision)
 };
 
-// Store changes, sent directly so that peers need not wait for their watch of the store.
+// Store changes of the sender, broadcast to the other controllers.
 struct StoreUpdates {
   std::vector<StoreUpdate> items;
   MSGPACK_DEFINE_ARRAY(items)
--- a/src/rooksill/wire/store_codec.cc
+++ b/src/rooksill/wire/store_codec.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kPlaceNone = 0;   // the task is on no machine
+constexpr int kPlaceNone = 0;   // the task is not assigned to a machine
 constexpr int kPlaceDone = -1;  // the task is done
 
 template <typename Decode>
@@ -49,7 +49,7 @@
   model::Job job;
   const int end = required<int>(value, "e");
   if (end < int(model::JobEnd::kOpen) || end > int(model::JobEnd::kDone))
-    throw FieldError{"e", "no such end", std::to_string(end)};
+    throw FieldError{"e", "unknown job end", std::to_string(end)};
   job.end = static_cast<model::JobEnd>(end);
   if (job.end == model::JobEnd::kDone) {
     job.spec.tasks = required<uint32_t>(value, "n");
@@ -58,7 +58,7 @@
   job.spec = read_spec(member(value, "s"));
   job.submitted = required<double>(value, "t");
   job.tasks_per_shard = required<uint32_t>(value, "k");
-  if (job.tasks_per_shard == 0) throw FieldError{"k", "is zero", ""};
+  if (job.tasks_per_shard == 0) throw FieldError{"k", "must not be zero", ""};
   return job;
 }
 
@@ -67,9 +67,9 @@
   const json& places = member(value, "p");
   const json& attempts = member(value, "a");
   if (!places.is_array() || places.size() != count)
-    throw FieldError{"p", "not " + std::to_string(count) + " places", ""};
+    throw FieldError{"p", "must have " + std::to_string(count) + " entries", ""};
   if (attempts.size() != count)
-    throw FieldError{"a", "not " + std::to_string(count) + " attempts", ""};
+    throw FieldError{"a", "must have " + std::to_string(count) + " entries", ""};
   std::vector<model::TaskState> tasks(count);
   for (size_t i = 0; i < count; ++i) {
     const int place = convert<int>(places[i], "p");
@@ -101,15 +101,15 @@
   const json& cpus = member(value, "c");
   const json& gpus = member(value, "g");
   if (!cpus.is_array() || cpus.size() != partitions)
-    throw FieldError{"c", "not a share for each partition", ""};
+    throw FieldError{"c", "must have one share per partition", ""};
   if (!gpus.is_array() || gpus.size() != partitions)
-    throw FieldError{"g", "not a share for each partition", ""};
+    throw FieldError{"g", "must have one share per partition", ""};
   std::vector<model::QuotaShare> shares(partitions);
   for (size_t partition = 0; partition < partitions; ++partition) {
     model::QuotaShare& share = shares[partition];
     share = {convert<double>(cpus[partition], "c"), convert<double>(gpus[partition], "g")};
-    if (!(share.cpus >= 0)) throw FieldError{"c", "negative share", ""};
-    if (!(share.gpus >= 0)) throw FieldError{"g", "negative share", ""};
+    if (!(share.cpus >= 0)) throw FieldError{"c", "share must not be negative", ""};
+    if (!(share.gpus >= 0)) throw FieldError{"g", "share must not be negative", ""};
   }
   return shares;
 }
@@ -155,7 +155,7 @@
   return decode_record([&] { return read_job(value); });
 }
 
-// Machines are named once, and tasks have numbers of those names.
+// Each machine name is stored once; tasks refer to machines by their 1-based index in that list.
 json encode_shard(const std::vector<model::TaskState>& tasks) {
   json names = json::array(), places = json::array(), attempts = json::array();
   std::map<std::string, int> numbers;
@@ -190,7 +190,7 @@
   });
 }
 
-// Grouped, so that type and zone are written once.
+// Machines are grouped by type, zone and spot so that these are stored once per group.
 json encode_machines(const std::map<std::string, model::Machine>& machines) {
   std::map<std::tuple<std::string, std::string, bool>, json> groups;
   for (const auto& [name, machine] : machines) {
--- a/src/rooksill/wire/store_keys.cc
+++ b/src/rooksill/wire/store_keys.cc
@@ -13,7 +13,7 @@
   return {Interface::kStoreRecord, "key", std::move(reason), key};
 }
 
-// The number that all of the text is.
+// Parses a text that consists of a non-negative number only.
 template <typename Number>
 std::optional<Number> parse_number(std::string_view text) {
   Number number = 0;
@@ -23,7 +23,7 @@
   return number;
 }
 
-// The number that the text begins with.
+// Parses the non-negative number at the start of a text; what follows it is ignored.
 std::optional<int> parse_leading_number(std::string_view text) {
   int number = -1;
   const auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -31,12 +31,12 @@
   return number;
 }
 
-// "JOB/SHARD".
+// Parses "JOB/SHARD". `rest` is the part of the key after the prefix of its kind.
 Decoded<StoreKey> parse_shard_key(const std::string& key, const std::string& rest) {
   const auto slash = rest.rfind('/');
-  if (slash == std::string::npos) return key_error(key, "no shard");
+  if (slash == std::string::npos) return key_error(key, "missing shard number");
   const auto shard = parse_number<uint32_t>(std::string_view(rest).substr(slash + 1));
-  if (!shard) return key_error(key, "bad number of a shard");
+  if (!shard) return key_error(key, "invalid shard number");
   StoreKey parsed{KeyKind::kShard, rest.substr(0, slash)};
   parsed.shard = *shard;
   return parsed;
@@ -44,19 +44,19 @@
 
 Decoded<StoreKey> parse_lease_key(const std::string& key, const std::string& rest) {
   const auto partition = parse_leading_number(rest);
-  if (!partition) return key_error(key, "bad number of a partition");
+  if (!partition) return key_error(key, "invalid partition number");
   StoreKey parsed{KeyKind::kLease};
   parsed.partition = *partition;
   return parsed;
 }
 
-// "PARTITION/PAGE".
+// Parses "PARTITION/PAGE".
 Decoded<StoreKey> parse_machines_key(const std::string& key, const std::string& rest) {
   const auto slash = rest.find('/');
-  if (slash == std::string::npos) return key_error(key, "no page");
+  if (slash == std::string::npos) return key_error(key, "missing page number");
   const auto partition = parse_number<int>(std::string_view(rest).substr(0, slash));
   const auto page = parse_number<int>(std::string_view(rest).substr(slash + 1));
-  if (!partition || !page) return key_error(key, "bad number of a partition or page");
+  if (!partition || !page) return key_error(key, "invalid partition or page number");
   StoreKey parsed{KeyKind::kMachines};
   parsed.partition = *partition;
   parsed.page = *page;
@@ -105,7 +105,7 @@
     case 'c':
       return StoreKey{KeyKind::kMachineType, name};
     default:
-      return key_error(key, "unknown kind of record");
+      return key_error(key, "unknown record kind");
   }
 }
 
--- a/src/rooksill/wire/store_protocol_codec.cc
+++ b/src/rooksill/wire/store_protocol_codec.cc
@@ -13,7 +13,7 @@
 constexpr int kOk = 200, kBadRequest = 400, kConflictStatus = 409, kTooManyRequests = 429,
               kUnavailable = 503;
 
-// Decodes the object that a body holds.
+// Decodes a body that holds a JSON object with `read`.
 template <typename Read>
 auto decode_body(const std::string& body, Read read) {
   return decode_with(Interface::kStoreProtocol, [&] { return read(parse_object(body)); });
@@ -36,7 +36,7 @@
   return put;
 }
 
-// Entries of a list or watch that are not of the protocol's form are passed over.
+// Malformed entries of a list or watch response are skipped; these functions recognize valid ones.
 bool is_item(const json& entry) {
   return entry.is_object() && entry.contains("k") && entry.contains("v");
 }
--- a/src/rooksill/wire/user_codec.cc
+++ b/src/rooksill/wire/user_codec.cc
@@ -17,12 +17,12 @@
 constexpr uint64_t kMaxTasks = 100000;
 constexpr size_t kMaxTextBytes = 200;
 constexpr size_t kMaxTypes = 64;
-constexpr double kMaxAmount = 1e12;  // of resources and of seconds
+constexpr double kMaxAmount = 1e12;  // upper limit for amounts of resources and for seconds
 
-// The text is part of the answer to the user.
+// The error text is part of the response to the user.
 FieldError invalid_field(const char* field) { return {field, "missing or invalid", ""}; }
 
-// A field that is null counts as left out.
+// Returns an optional field, or nullptr if it is absent or null.
 const json* find_field(const json& object, const char* field) {
   auto it = object.find(field);
   return it == object.end() || it->is_null() ? nullptr : &*it;
@@ -66,7 +66,7 @@
   const std::string shape = require_text(object, "shape");
   if (shape == "batch") return model::Shape::kArray;
   if (shape == "service") return model::Shape::kService;
-  // Not in the protocol's text; see docs/questions.md.
+  // Not specified in the text of the protocol; see docs/questions.md.
   if (shape == "ensemble") return model::Shape::kGang;
   throw invalid_field("shape");
 }
@@ -98,7 +98,7 @@
   return types;
 }
 
-// Field by field in this order: the answer names the first that is invalid.
+// The order of the fields is significant: the error response names the first invalid one.
 model::JobSpec read_job(const json& object) {
   model::JobSpec spec;
   spec.id = require_text(object, "id");
--- a/src/rooksill/wire/user_codec.h
+++ b/src/rooksill/wire/user_codec.h
@@ -1,4 +1,5 @@
-// Messages between controllers and users.
+// Messages between controllers and users, in JSON. The field names of the user protocol and the
+// terms used for them in this code:
 //
 //   submission:  id, flock -> job class, owner -> team, shape, rank -> priority, pieces -> tasks,
 //                cores -> CPUs, gpus, memory_gb, bundle -> image, size_gb -> image GB,
@@ -8,7 +9,7 @@
 //   shape:       batch -> kArray, service -> kService, ensemble -> kGang
 //   rank:        prod -> kProd, urgent -> kUrgent, standard -> kStandard, idle -> kIdle
 //   status:      id, status (queued, running, done; withdrawn -> cancelled), done and running ->
-//                how many tasks are done and placed
+//                number of tasks done and placed
 //   error:       error -> the reason
 #pragma once
 
@@ -19,12 +20,14 @@
 
 namespace rooksill::wire {
 
-// A submission. Users are answered with DecodeError::message() when it is invalid.
+// Decodes a job submission. If it is invalid, the user receives DecodeError::message().
 Decoded<model::JobSpec> parse_job(const std::string& body);
 
+// Returns the response to a status request.
 std::string encode_status(const model::Job& job);
-// The answer to a submission that was stored just now.
+// Returns the response to a submission that has been stored.
 std::string encode_accepted(const std::string& id);
+// Returns an error response; invalid UTF-8 in `text` is replaced.
 std::string encode_error(const std::string& text);
 
 }  // namespace rooksill::wire
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -50,7 +50,7 @@
   throw FieldError{"status", "unknown", status};
 }
 
-// A cause that this version does not know is an error of the task.
+// Exit causes that this version does not know are treated as task errors.
 ExitCause read_cause(const json& task) {
   const auto cause = field_or<std::string>(task, "cause", "error");
   if (cause == "done") return ExitCause::kDone;
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -1,4 +1,5 @@
-// Messages between controllers and the workers of machines.
+// Messages between controllers and the workers on the machines, in JSON. The field names of the
+// worker protocol and the terms used for them in this code:
 //
 //   heartbeat:  perch -> machine, address -> address, build -> type, ward -> zone,
 //               loaners -> spot, tenure -> agent epoch, tally -> sequence, baton -> fencing token,
@@ -26,66 +27,71 @@
 
 namespace rooksill::wire {
 
+// The phase of a task's execution on a worker.
 enum class TaskPhase {
-  kFetching,        // the image
-  kWaitingForGang,  // has its image and waits for the other tasks of its gang
+  kFetching,        // fetches its image
+  kWaitingForGang,  // has its image; waits for the other tasks of its gang
   kRunning,
-  kSaving,  // a checkpoint, since it was told to stop
-  kExited   // until it is removed
+  kSaving,  // saves a checkpoint after a stop command
+  kExited   // stays in this phase until it is removed
 };
 
-// Why a task exited. kGangMemberLost and kGangIncomplete say nothing about its machine: the task
-// ended because of other tasks of its gang.
+// The reason why a task exited. kGangMemberLost and kGangIncomplete do not indicate a problem with
+// the machine: the task ended because of other tasks of its gang.
 enum class ExitCause {
-  kNone,  // it did not exit
-  kDone,
-  kStopped,
-  kGangMemberLost,
-  kGangIncomplete,
-  kError,
-  kNoRoom,
+  kNone,            // it has not exited
+  kDone,            // it completed
+  kStopped,         // by a stop command
+  kGangMemberLost,  // another task of its gang is gone
+  kGangIncomplete,  // its gang did not start together
+  kError,           // any other failure
+  kNoRoom,          // the machine lacks the capacity
   kBusy,
   kUnknownTask
 };
 
-// A task on a worker.
+// A task as reported by its worker.
 struct ReportedTask {
   model::TaskRef task;
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kFetching;
-  ExitCause cause = ExitCause::kNone;
+  ExitCause cause = ExitCause::kNone;  // kExited only
 };
 
-// What a worker says of itself: a heartbeat, an answer to commands or to a probe.
+// The state of a worker, sent as a heartbeat and in response to commands and probes.
 struct WorkerHeartbeat {
-  std::string machine;
-  std::string address;
+  std::string machine;  // name
+  std::string address;  // host:port
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t agent_epoch = 0;  // rises with each start of the worker
-  uint64_t sequence = 0;     // rises with each heartbeat of an agent epoch
-  model::FencingToken fencing_token = model::kNoFencingToken;  // the highest one that it has seen
-  std::optional<double> termination_notice_s;                  // until the cloud takes it away
-  std::vector<ReportedTask> tasks;                             // all that it has
+  uint64_t agent_epoch = 0;  // increases with each start of the worker
+  uint64_t sequence = 0;     // increases with each heartbeat of an agent epoch
+  model::FencingToken fencing_token =
+      model::kNoFencingToken;                  // the highest one that it has received
+  std::optional<double> termination_notice_s;  // time until the cloud reclaims it
+  std::vector<ReportedTask> tasks;             // all tasks on the machine
 };
 
+// A command to a worker about one attempt of a task.
 struct WorkerCommand {
   enum class Op { kStart, kStop, kRemove } op;
   model::TaskRef task;
   uint64_t attempt = 0;
-  double grace_s = 0;  // kStop: that the task has to save its work
+  double grace_s = 0;  // kStop: time for the task to save its work
 };
 
+// Decodes a worker's heartbeat.
 Decoded<WorkerHeartbeat> parse_heartbeat(const std::string& body);
 
-// The answer to a heartbeat.
+// Returns the response to a heartbeat.
 std::string encode_heartbeat_answer(model::FencingToken fencing_token,
                                     const std::vector<WorkerCommand>& commands);
-// Commands sent to a worker, which refuses them in another agent epoch.
+// Returns the body of a command request. A worker in another agent epoch rejects it.
 std::string encode_commands(model::FencingToken fencing_token, uint64_t agent_epoch,
                             const std::vector<WorkerCommand>& commands);
-// Tells a worker which controller to report to. Empty label: any other.
+// Returns a response that redirects a worker to the controller with the label. If the label is
+// empty, the worker is to choose any other controller.
 std::string encode_redirect(const std::string& label);
 
 }  // namespace rooksill::wire
