--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -106,7 +106,7 @@
     ceiling.by_zone[zone] = in_zone;
     ceiling.all += in_zone;
   }
-  const int configured = context_.settings.operators.max_machines;
+  const int configured = context_.settings.operators.max_pool_machines;
   if (configured > 0) ceiling.all = std::min(configured, ceiling.all);
   return ceiling;
 }
--- a/src/rooksill/settings/operators.cc
+++ b/src/rooksill/settings/operators.cc
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr const char* kWholeFile = "operators' settings";
+constexpr const char* kWholeFile = "operator settings";
 
 SettingsError schema_error(valijson::ValidationResults& results) {
   std::string field = kWholeFile;
-  std::string problem = "out of the schema";
+  std::string problem = "does not match the schema";
   valijson::ValidationResults::Error error;
-  // The last error names the innermost field.
+  // The last error refers to the innermost field.
   while (results.popError(error)) {
     field.clear();
     for (const std::string& part : error.context) field += part;
@@ -41,7 +41,7 @@
     throw schema_error(results);
 }
 
-// Replaces the default in `setting` if the file has the field.
+// Replaces the default value of a setting if the file has the field.
 template <typename Setting>
 void read_optional(const json& section, const char* name, Setting& setting) {
   setting = section.value(name, setting);
@@ -52,7 +52,7 @@
 OperatorSettings parse_operator_settings(const std::string& source) {
   const json root = json::parse(source, nullptr, false);
   if (root.is_discarded())
-    throw SettingsError(SettingsError::Reason::kMalformed, kWholeFile, "not JSON");
+    throw SettingsError(SettingsError::Reason::kMalformed, kWholeFile, "not valid JSON");
   check_schema(root);
   OperatorSettings settings;
   const json policy = root.value("policy", json::object());
@@ -61,7 +61,7 @@
   read_optional(policy, "planned_cost", settings.planned_cost);
   read_optional(policy, "unplanned_cost", settings.unplanned_cost);
   read_optional(policy, "holding_cost", settings.holding_cost);
-  read_optional(policy, "ceiling", settings.max_machines);
+  read_optional(policy, "ceiling", settings.max_pool_machines);
   read_optional(policy, "demand_cap", settings.demand_cap);
   const json takeover = root.value("takeover", json::object());
   read_optional(takeover, "leader_ttl_reports", settings.leader_ttl_reports);
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -14,14 +14,16 @@
 using nlohmann::json;
 using Reason = SettingsError::Reason;
 
-// The smallest limits of the store that a job's record and the end of a job fit into.
+// The smallest store limits with which a job's record fits into a value, and the update that ends a
+// job into a transaction.
 constexpr double kMinValueKb = 1;
 constexpr double kMinTxnOps = 2;
 
 constexpr double kMinSockets = 16;
-constexpr double kMinFraction = 0.01;  // of what has to be more than nothing
+constexpr double kMinFraction = 0.01;  // lower limit for values that must be greater than zero
 
-// ---- Single fields. `prefix` is the path of the object that they are in, with a dot at its end.
+// ---- Reading single fields. `prefix` is the path of the enclosing object, with a trailing dot; it
+// is used in error messages.
 
 const json& read_member(const json& object, const char* name, const std::string& prefix) {
   const auto it = object.is_object() ? object.find(name) : object.end();
@@ -52,14 +54,14 @@
   return value.get<double>();
 }
 
-// 0 if it is not there.
+// Returns 0 if the field is absent or null.
 double read_optional_number(const json& object, const char* name, const std::string& prefix) {
   const auto it = object.find(name);
   if (it == object.end() || it->is_null()) return 0;
   return read_number(object, name, prefix, 0);
 }
 
-// host:port, with a port in digits.
+// Reads an address of the form host:port with a numeric port.
 std::string read_address(const json& object, const char* name, const std::string& prefix) {
   std::string value = read_text(object, name, prefix);
   const auto colon = value.rfind(':');
@@ -82,7 +84,7 @@
 void parse_zones(const json& facts, PlatformSettings& settings) {
   for (const json& zone : read_array(facts, "zones", "facts.")) {
     if (!zone.is_string())
-      throw SettingsError(Reason::kWrongType, "facts.zones", "must hold strings");
+      throw SettingsError(Reason::kWrongType, "facts.zones", "must be an array of strings");
     settings.zones.push_back(zone.get<std::string>());
   }
 }
@@ -107,7 +109,8 @@
   return ObjectiveKind::kUnknown;
 }
 
-// Objectives guide decisions only: what this version does not understand is passed over.
+// Objectives only guide decisions, so entries that this version does not understand are ignored
+// rather than rejected.
 void parse_objectives(const json& facts, PlatformSettings& settings) {
   const auto objectives = facts.find("objectives");
   if (objectives == facts.end() || !objectives->is_array()) return;
@@ -132,7 +135,7 @@
   settings.gang_stop_deadline_s = read_optional_number(workers, "gang_peer_s", prefix);
 }
 
-// The limits of the store, and those that it will have after its upgrade if it lowers them.
+// Reads the current limits of the store, and the planned ones (`next`) if an upgrade lowers them.
 void parse_store_limits(const json& state, PlatformSettings& settings) {
   const std::string prefix = "facts.state.";
   settings.store_requests_per_s = read_number(state, "rps", prefix, 1);
--- a/src/rooksill/settings/settings_error.h
+++ b/src/rooksill/settings/settings_error.h
@@ -1,4 +1,4 @@
-// Why a settings file was refused.
+// The exception that reports an invalid settings file.
 #pragma once
 
 #include <stdexcept>
@@ -6,24 +6,27 @@
 
 namespace rooksill {
 
-// what() is the line for the user: the field, and what it has to be.
+// what() is the message for the operator: "FIELD: PROBLEM".
 class SettingsError : public std::runtime_error {
  public:
   enum class Reason {
     kUnreadable,   // the file cannot be read
     kMalformed,    // not JSON, or not an object
-    kMissing,      // a field that has to be there
-    kWrongType,    // for example a number in place of a string
-    kTooSmall,     // not a number, or below the least that is allowed
+    kMissing,      // a required field is missing
+    kWrongType,    // for example a number instead of a string
+    kTooSmall,     // not a number, or below the minimum
     kBadAddress,   // not host:port
-    kOutOfSchema,  // against the operators' schema
+    kOutOfSchema,  // does not match the schema of the operators' settings
   };
 
-  // `field`: its path, as in "facts.state.rps"; a file's path or name if it concerns all of it.
+  // `field` is the path of the field, as in "facts.state.rps", or the file's path or name if the
+  // error concerns the whole file.
   SettingsError(Reason reason, const std::string& field, const std::string& problem)
       : std::runtime_error(field + ": " + problem), reason_(reason), field_(field) {}
 
+  // Returns the category of the error.
   Reason reason() const { return reason_; }
+  // Returns the path of the invalid field, or the name of the file.
   const std::string& field() const { return field_; }
 
  private:
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -46,8 +46,8 @@
   kGangIncomplete,  // its gang did not start together
   kError,           // any other failure
   kNoRoom,          // the machine lacks the capacity
-  kBusy,
-  kUnknownTask
+  kBusy,            // another attempt of the task is on the machine
+  kUnknownTask      // the worker knows no such task
 };
 
 // A task as reported by its worker.
