--- a/src/rooksill/fleet/silent_machines.cc
+++ b/src/rooksill/fleet/silent_machines.cc
@@ -25,7 +25,7 @@
   unreachable_to_owner_ = unreachable.to_owner;
   std::erase_if(silent_since_, [&](const auto& entry) {
     const auto status = statuses.find(entry.first);
-    return status == statuses.end() || !status->second.silent;
+    return status == statuses.end() || !status->second.is_unreachable;
   });
   update_cut_off_zones(statuses, unreachable.to_most);
   update_space(statuses);
