--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -90,7 +90,7 @@
 }
 
 double FailureDetector::unreachable_timeout_s() const {
-  return context_.settings.operators.machine_silence_reports * context_.settings.platform.report_s;
+  return context_.settings.operators.machine_timeout_reports * context_.settings.platform.report_s;
 }
 
 void FailureDetector::record_contact(Worker& worker) {
@@ -157,7 +157,8 @@
 
 std::vector<std::string> FailureDetector::unreachable_machines() const {
   std::vector<std::string> out;
-  const size_t max_count = context_.settings.platform.state_value_bytes / model::kMaxItemBytes / 2;
+  const size_t max_count =
+      context_.settings.platform.store_max_value_bytes / model::kMaxItemBytes / 2;
   for (const auto& [name, worker] : workers_)
     if (worker.is_unreachable && out.size() < max_count) out.push_back(name);
   return out;
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -93,8 +93,8 @@
   if (new_addresses_.size() <= workers_.size()) new_addresses_.push_back({machine, address});
 }
 
-std::vector<wire::Address> WorkerTable::collect_address_updates() {
-  std::vector<wire::Address> out = std::exchange(new_addresses_, {});
+std::vector<wire::MachineAddress> WorkerTable::collect_address_updates() {
+  std::vector<wire::MachineAddress> out = std::exchange(new_addresses_, {});
   size_t position = ++republish_turn_;
   for (const auto& [name, worker] : workers_)
     if (++position % kRepublishTurns == 0 && !worker.address.empty())
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -77,7 +77,7 @@
   // Returns addresses to send to the other controllers: those learned since the last call, and a
   // rotating subset of all others, so that an update lost in transit is eventually repeated.
   // Advances the rotation that collect_due_statuses uses too.
-  std::vector<wire::Address> collect_address_updates();
+  std::vector<wire::MachineAddress> collect_address_updates();
   // A worker whose status may have to be published.
   struct DueStatus {
     Worker* worker;
@@ -96,7 +96,7 @@
   std::vector<std::string> changed_names_;
   std::set<std::string> draining_;
   std::unordered_map<std::string, std::string> addresses_;  // by machine
-  std::vector<wire::Address> new_addresses_;
+  std::vector<wire::MachineAddress> new_addresses_;
   size_t republish_turn_ = 0;
 };
 
--- a/src/rooksill/api/job_canceller.cc
+++ b/src/rooksill/api/job_canceller.cc
@@ -35,7 +35,7 @@
   auto record = wire::encode_job(cancelled_job);
   // Records from before the store lowered its limits can be too large. The allowed machine types
   // can be dropped, as they are not used after the job has ended.
-  if (record.dump().size() > context_.settings.platform.state_value_bytes) {
+  if (record.dump().size() > context_.settings.platform.store_max_value_bytes) {
     cancelled_job.spec.types.clear();
     record = wire::encode_job(cancelled_job);
   }
@@ -59,7 +59,7 @@
           responder_.reply_retry(request);
       });
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       return responder_.reply_retry(request);
   }
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -31,7 +31,8 @@
   if (job == nullptr)
     return lookup_.read(request, id, [this, request, id] { responder_.reply_status(request, id); });
   if (job->over()) return responder_.reply_status(request, id);  // the end of a job is final
-  if (polls_.size() >= context_.settings.platform.state_txn_ops * kMaxQueuedPollsPerTransactionOp)
+  if (polls_.size() >=
+      context_.settings.platform.store_max_transaction_ops * kMaxQueuedPollsPerTransactionOp)
     return responder_.reply_retry(request);
   polls_.push_back({request, id, context_.now.steady});
 }
@@ -41,7 +42,8 @@
   const double now = context_.now.steady;
   if (polls_.empty() || !pacer_.may_send(now)) return;
   const size_t count =
-      std::min(polls_.size(), context_.settings.platform.state_txn_ops * kMaxPollsPerTransactionOp);
+      std::min(polls_.size(),
+               context_.settings.platform.store_max_transaction_ops * kMaxPollsPerTransactionOp);
   const std::vector<Poll> group(polls_.begin(), polls_.begin() + static_cast<long>(count));
   const bool sent = client_.transact(revision_preconditions(group), {},
                                      [this, group](const store::TransactionResult& result) {
@@ -76,11 +78,11 @@
     case store::TransactionOutcome::kApplied:
       return reply_group(group, {});
     case store::TransactionOutcome::kConflict:
-      return reply_group(group, {result.failed.begin(), result.failed.end()});
+      return reply_group(group, {result.conflicting_keys.begin(), result.conflicting_keys.end()});
     case store::TransactionOutcome::kRefused:
     case store::TransactionOutcome::kTooLarge:
     case store::TransactionOutcome::kUnknown:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
       for (const Poll& poll : group) responder_.reply_retry(poll.request);
       return;
   }
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -24,7 +24,7 @@
 // A tenth of the value limit is reserved for fields that the record gains later, such as the job's
 // end.
 bool fits_store_value(const model::Job& job, const PlatformSettings& platform) {
-  return wire::encode_job(job).dump().size() <= platform.state_value_bytes * 9 / 10;
+  return wire::encode_job(job).dump().size() <= platform.store_max_value_bytes * 9 / 10;
 }
 
 }  // namespace
@@ -74,7 +74,7 @@
   submission.job.tasks_per_shard = replica_.tasks_per_shard();
   if (!fits_store_value(submission.job, platform))
     return responder_.reply_error(request, 400, "builds: too long");
-  if (submissions_.size() >= static_cast<size_t>(platform.state_write_rps * kMaxQueueLengthS))
+  if (submissions_.size() >= static_cast<size_t>(platform.store_writes_per_s * kMaxQueueLengthS))
     return responder_.reply_retry(request);
   submissions_.push_back(std::move(submission));
 }
@@ -107,7 +107,8 @@
 
 // Returns the largest group that the store's limits allow to be sent now.
 SubmissionQueue::Group SubmissionQueue::next_group() const {
-  size_t max_size = std::min(context_.settings.platform.state_txn_ops, submissions_.size());
+  size_t max_size =
+      std::min(context_.settings.platform.store_max_transaction_ops, submissions_.size());
   while (max_size > 1 && !client_.has_capacity_for(static_cast<double>(max_size), 0)) --max_size;
   Group group;
   std::set<std::string> ids;
@@ -134,9 +135,9 @@
       for (const Submission& submission : group) accept(submission);
       return;
     case store::TransactionOutcome::kConflict:
-      return resolve_conflict(group, result.failed);
+      return resolve_conflict(group, result.conflicting_keys);
     case store::TransactionOutcome::kRefused:
-    case store::TransactionOutcome::kNoLease:
+    case store::TransactionOutcome::kLeaseExpired:
     case store::TransactionOutcome::kTooLarge:
       for (const Submission& submission : group) responder_.reply_retry(submission.request);
       return;
--- a/src/rooksill/api/transaction_pacer.h
+++ b/src/rooksill/api/transaction_pacer.h
@@ -16,7 +16,7 @@
  public:
   // `request_ratio`: the ratio of this controller's requests to the store that may be used, 0 to 1.
   TransactionPacer(const PlatformSettings& platform, double request_ratio)
-      : interval_s_(platform.controllers / (request_ratio * platform.state_rps)) {}
+      : interval_s_(platform.controller_count / (request_ratio * platform.store_requests_per_s)) {}
 
   // Returns whether the interval since the last transaction has passed and not too many are
   // pending.
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -51,7 +51,7 @@
     return responder_.reply_error(request.id, 404, "no such path");
   if (request.method != allowed_method)
     return responder_.reply_error(request.id, 405, "use " + allowed_method);
-  if (!wire::valid_job_id(id)) return responder_.reply_error(request.id, 404, "no such job");
+  if (!wire::is_valid_job_id(id)) return responder_.reply_error(request.id, 404, "no such job");
   if (is_cancellation)
     canceller_.cancel(request.id, id);
   else
@@ -61,7 +61,8 @@
 void UserRequests::flush() {
   submissions_.flush();
   const PlatformSettings& platform = context_.settings.platform;
-  const double max_reserved = kReservedWriteRatio * platform.state_write_rps / platform.controllers;
+  const double max_reserved =
+      kReservedWriteRatio * platform.store_writes_per_s / platform.controller_count;
   client_.set_reserved_writes(std::min(static_cast<double>(submissions_.size()), max_reserved));
   polls_.flush();
 }
--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -42,7 +42,7 @@
   }
   ShardUpdate update(replica_, owned_partitions_, *job, id.index, changes);
   const bool has_changes = update.apply();
-  const bool fits = has_changes && update.encode(context_.settings.platform.state_value_bytes);
+  const bool fits = has_changes && update.encode(context_.settings.platform.store_max_value_bytes);
   removed.insert(removed.end(), update.removed().begin(), update.removed().end());
   if (!has_changes) return AddResult::kNoChanges;
   if (!fits) return AddResult::kTooLarge;
@@ -63,7 +63,7 @@
       added.begin(), added.end(),
       [&](const auto& precondition) { return preconditions_.count(precondition.first) == 0; });
   const size_t max_preconditions =
-      context_.settings.platform.state_txn_ops * kPreconditionsPerWrite;
+      context_.settings.platform.store_max_transaction_ops * kPreconditionsPerWrite;
   return preconditions_.size() + static_cast<size_t>(new_preconditions) <= max_preconditions;
 }
 
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -33,19 +33,19 @@
   request_in_flight_ =
       cloud_.get(path, [this](const runtime::CallDone& done) { on_response(done); });
   if (!request_in_flight_)
-    next_request_at_ = context_.now.steady + 1 / context_.settings.platform.cloud_rps;
+    next_request_at_ = context_.now.steady + 1 / context_.settings.platform.cloud_calls_per_s;
 }
 
 void CloudInventory::on_response(const runtime::CallDone& done) {
   request_in_flight_ = false;
   const auto& platform = context_.settings.platform;
-  const auto page = wire::parse_list(done.body);
+  const auto page = wire::parse_machine_list(done.body);
   if (done.status != 200 || !page) {
     next_request_at_ = context_.now.steady + platform.report_s / 2;
     return;
   }
   listed_machines_.insert(listed_machines_.end(), page->machines.begin(), page->machines.end());
-  if (page->more && !page->machines.empty()) {
+  if (page->has_more && !page->machines.empty()) {
     last_listed_name_ = page->machines.back().name;
     return;
   }
@@ -64,7 +64,7 @@
     if (!machine.address.empty()) addresses_[name] = machine.address;
     if (returns_.was_recently_released(name) || lists_.is_addition_pending(name)) continue;
     if (replica_.machine(name) != nullptr) {
-      if (machine.failed) returns_.release(name, "listed as failed");
+      if (machine.has_failed) returns_.release(name, "listed as failed");
       continue;
     }
     const auto known = unexpected_since_.find(name);
@@ -81,7 +81,7 @@
 void CloudInventory::process_unexpected(const wire::ListedMachine& machine, double listed_since) {
   const double lag_s = context_.settings.platform.cloud_list_lag_s;
   if (context_.now.steady - listed_since < kAdoptionListLags * lag_s) return;
-  if (machine.failed) {
+  if (machine.has_failed) {
     returns_.release(machine.name, "unexpected and failed");
     return;
   }
@@ -101,8 +101,8 @@
   lists_.add({name}, offer);
 }
 
-std::vector<wire::Address> CloudInventory::pop_addresses() {
-  std::vector<wire::Address> addresses;
+std::vector<wire::MachineAddress> CloudInventory::pop_addresses() {
+  std::vector<wire::MachineAddress> addresses;
   for (auto& [machine, address] : addresses_) addresses.push_back({machine, address});
   addresses_.clear();
   return addresses;
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -66,7 +66,7 @@
   // Return the task moves (for the partition owners) and the machine addresses that were collected
   // since the last call, and clear them.
   std::vector<wire::TaskMove> pop_moves() { return drain_moves_.pop_moves(); }
-  std::vector<wire::Address> pop_addresses() { return inventory_.pop_addresses(); }
+  std::vector<wire::MachineAddress> pop_addresses() { return inventory_.pop_addresses(); }
 
  private:
   void rent_on_demand(const wire::MachineStatusMap& statuses,
--- a/src/rooksill/fleet/free_space.h
+++ b/src/rooksill/fleet/free_space.h
@@ -21,7 +21,7 @@
 
 // Returns the free resources that the machine's owner reports.
 inline model::Resources free_resources(const wire::MachineStatus& status) {
-  return {status.cpus_free, status.gpus_free, status.memory_free};
+  return {status.cpus_free, status.gpus_free, status.memory_free_gb};
 }
 
 // Return the free space of a machine without tasks: of one to be rented, or of an existing one.
--- a/src/rooksill/fleet/machine_lists.cc
+++ b/src/rooksill/fleet/machine_lists.cc
@@ -135,7 +135,7 @@
     for (const auto& name : pages[static_cast<size_t>(id.page)].names)
       machines.emplace(name, *replica_.machine(name));
   for (const auto& name : pending_removals_) machines.erase(name);
-  const size_t limit_bytes = context_.settings.platform.state_value_bytes;
+  const size_t limit_bytes = context_.settings.platform.store_max_value_bytes;
   for (auto& [name, machine] : pending_additions_) {
     if (machine.partition != id.partition || machine.page != id.page) continue;
     if (machines.count(name) != 0) continue;
--- a/src/rooksill/fleet/pool_sizing.cc
+++ b/src/rooksill/fleet/pool_sizing.cc
@@ -18,8 +18,8 @@
 double unplanned_cost_factor(const PlatformSettings& platform) {
   double factor = 1;
   for (const auto& objective : platform.objectives)
-    if (objective.kind == ObjectiveKind::kWait && objective.share < 1)
-      factor = std::max(factor, 1 / (1 - objective.share));
+    if (objective.kind == ObjectiveKind::kWait && objective.target_share < 1)
+      factor = std::max(factor, 1 / (1 - objective.target_share));
   return factor;
 }
 
@@ -58,7 +58,7 @@
   input.arrival_rate = demand.arrival_rate();
   input.service_rate = demand.service_rate();
   input.max_machines = std::max(limit.total, input.rented);
-  input.horizon_periods = operators.periods;
+  input.horizon_periods = operators.horizon_periods;
   input.planned_cost = operators.planned_cost;
   input.unplanned_cost = operators.unplanned_cost * unplanned_cost_factor;
   input.holding_cost = operators.holding_cost;
@@ -88,13 +88,13 @@
       continue;
     }
     const wire::MachineStatus& status = found->second;
-    if (status.faulty || status.silent || status.termination_notice) continue;
+    if (status.is_faulty || status.is_unreachable || status.has_termination_notice) continue;
     ++state.rented;
-    state.busy_machines += status.load;
+    state.busy_machines += status.utilization;
     const double age = context_.now.wall - machine->rented_at;
-    if (!status.up || age <= kMinimumChargeSeconds) continue;
+    if (!status.is_up || age <= kMinimumChargeSeconds) continue;
     const auto images = static_cast<double>(status.images.size());
-    state.candidates.push_back({status.load * (1 + kImageCostRatio * images), machine});
+    state.candidates.push_back({status.utilization * (1 + kImageCostRatio * images), machine});
   }
   return state;
 }
@@ -108,7 +108,7 @@
     limit.by_zone[zone] = zone_limit;
     limit.total += zone_limit;
   }
-  const int configured = context_.settings.operators.ceiling;
+  const int configured = context_.settings.operators.max_pool_machines;
   if (configured > 0) limit.total = std::min(configured, limit.total);
   return limit;
 }
--- a/src/rooksill/fleet/unreachable_machines.cc
+++ b/src/rooksill/fleet/unreachable_machines.cc
@@ -26,7 +26,7 @@
   unreachable_to_owner_ = unreachable.to_owner;
   std::erase_if(unreachable_since_, [&](const auto& entry) {
     const auto status = statuses.find(entry.first);
-    return status == statuses.end() || !status->second.silent;
+    return status == statuses.end() || !status->second.is_unreachable;
   });
   update_isolated_zones(statuses, unreachable.to_most_owners);
   update_capacity(statuses);
@@ -47,10 +47,10 @@
     if (found == statuses.end() || type == replica_.types.end()) continue;
     const wire::MachineStatus& status = found->second;
     const double age = context_.now.wall - machine.rented_at;
-    if (!status.up && age < model::kLateBootRatio * type->second.boot_s) continue;
+    if (!status.is_up && age < model::kLateBootRatio * type->second.boot_s) continue;
     ZoneCount& count = counts[machine.zone];
     ++count.total;
-    if (status.silent || !status.up) ++count.unreachable;
+    if (status.is_unreachable || !status.is_up) ++count.unreachable;
   }
   return counts;
 }
@@ -89,7 +89,7 @@
   free_cpus_ = 0;
   used_cpus_by_priority_.fill(0);
   for (const auto& [name, status] : statuses) {
-    if (replica_.machine(name) == nullptr || !status.up || status.silent) continue;
+    if (replica_.machine(name) == nullptr || !status.is_up || status.is_unreachable) continue;
     free_cpus_ += status.cpus_free;
     for (size_t priority = 0; priority < used_cpus_by_priority_.size(); ++priority)
       used_cpus_by_priority_[priority] += status.cpus_by_priority[priority];
@@ -119,7 +119,7 @@
   const PlatformSettings& platform = context_.settings.platform;
   // A machine is reported as unreachable only after this time, and its lease began before.
   const double detection_s =
-      context_.settings.operators.machine_silence_reports * platform.report_s;
+      context_.settings.operators.machine_timeout_reports * platform.report_s;
   if (unreachable_s < platform.lease_s - detection_s) return false;
   const store::MachineLoad& load = replica_.load(machine.name);
   if (load.service_cpus <= 0 && claim_capacity_for(load)) return true;
--- a/src/rooksill/leader/machine_status_table.cc
+++ b/src/rooksill/leader/machine_status_table.cc
@@ -58,16 +58,18 @@
   wire::PublishedStatus& status = statuses_[name];
   status.publisher = owner;
   status.name = name;
-  status.up = status.up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
+  status.is_up = status.is_up || !load.tasks.empty() || machine_age > 2 * type->second.boot_s;
   // The unreachable owner cannot be asked to drain the machine and could not report it as empty.
-  status.draining = false;
-  status.silent = std::find(unreachable.begin(), unreachable.end(), name) != unreachable.end();
-  status.cpus_free = status.up && !status.silent ? free.cpus : 0;
+  status.is_draining = false;
+  status.is_unreachable =
+      std::find(unreachable.begin(), unreachable.end(), name) != unreachable.end();
+  status.cpus_free = status.is_up && !status.is_unreachable ? free.cpus : 0;
   status.gpus_free = free.gpus;
-  status.memory_free = free.memory_gb;
-  status.tasks = static_cast<uint32_t>(load.tasks.size());
-  status.load = std::max(capacity.cpus > 0 ? load.used.cpus / capacity.cpus : 0,
-                         capacity.memory_gb > 0 ? load.used.memory_gb / capacity.memory_gb : 0);
+  status.memory_free_gb = free.memory_gb;
+  status.task_count = static_cast<uint32_t>(load.tasks.size());
+  status.utilization =
+      std::max(capacity.cpus > 0 ? load.used.cpus / capacity.cpus : 0,
+               capacity.memory_gb > 0 ? load.used.memory_gb / capacity.memory_gb : 0);
 }
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -65,7 +65,7 @@
 
 // Returns the eligible controllers or, if there are none, all live ones.
 PartitionAssigner::Candidates PartitionAssigner::find_candidates() {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   Candidates candidates;
   for (const auto& label : labels)
     if (check_eligibility(label)) candidates.labels.push_back(label);
@@ -99,10 +99,10 @@
   if (!peers_.is_alive(label)) return "it is not alive";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
-  if (!heartbeat.ready) return "its replica is not loaded";
+  if (!heartbeat.is_ready) return "its replica is not loaded";
   if (membership::Upgrade::is_running_older_version(replica_, label, peer))
     return "it runs an older version";
-  if (!heartbeat.store_ok) return "it cannot reach the store";
+  if (!heartbeat.is_store_available) return "it cannot reach the store";
   if (heartbeat.suspects_itself) return "it suspects itself";
   return "";
 }
@@ -113,10 +113,10 @@
 bool PartitionAssigner::should_wait_for_peers() const {
   const double since_start_s = context_.now.steady - election_.first_tick_at();
   if (since_start_s >= kStartupWaitReports * context_.settings.platform.report_s) return false;
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   return std::any_of(labels.begin(), labels.end(), [&](const auto& label) {
     const membership::Peer* peer = peers_.find(label);
-    return peer != nullptr && (peer->incarnation == 0 || !peer->heartbeat.ready);
+    return peer != nullptr && (peer->incarnation == 0 || !peer->heartbeat.is_ready);
   });
 }
 
@@ -165,7 +165,7 @@
 // `from`; -1 if it has none.
 int PartitionAssigner::choose_partition_to_move(const std::string& from,
                                                 const std::string& to) const {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   int first = -1;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     if (replica_.leases[i].owner != from) continue;
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -67,30 +67,30 @@
   const auto begin = kept_jobs_.begin() + static_cast<std::ptrdiff_t>(first - first_kept_);
   const size_t count =
       std::min(kMaxCancellationsPerMessage, static_cast<size_t>(kept_jobs_.end() - begin));
-  wire::Cancelled message;
+  wire::CancelledJobs message;
   message.first = first;
   message.jobs.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
   progress.sent_up_to = first + count - 1;
   progress.next_resend_at =
       context_.now.steady + kResendIntervalHeartbeats * context_.settings.platform.report_s;
-  peers_.send(label, wire::PeerKind::kCancelled, wire::pack(message));
+  peers_.send(label, wire::PeerMessageKind::kCancelledJobs, wire::pack(message));
 }
 
 void Cancellations::add_to_heartbeat(wire::ControllerHeartbeat& heartbeat) const {
   heartbeat.sent_at = context_.now.steady;
-  heartbeat.cancelled = learned_count();
+  heartbeat.cancellation_count = learned_count();
   for (const auto& [label, progress] : progress_) {
     if (progress.incarnation == 0 || progress.last_heartbeat_sent_at < kMinSentAtS) continue;
-    heartbeat.heard.push_back(
+    heartbeat.cancellation_acks.push_back(
         {label, progress.incarnation, progress.received_up_to, progress.last_heartbeat_sent_at});
   }
 }
 
-void Cancellations::receive(const std::string& label, const wire::Cancelled& message) {
+void Cancellations::receive(const std::string& label, const wire::CancelledJobs& message) {
   PeerProgress& progress = progress_of(label);
   // Takes effect immediately; the job's record arrives later through the watch.
   for (const auto& job : message.jobs)
-    if (wire::valid_job_id(job)) replica_.mark_cancelled(job);
+    if (wire::is_valid_job_id(job)) replica_.mark_cancelled(job);
   const uint64_t last = message.first + message.jobs.size() - 1;
   const bool without_gap = message.first <= progress.received_up_to + 1;
   if (!message.jobs.empty() && without_gap)
@@ -100,12 +100,12 @@
 void Cancellations::receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat) {
   PeerProgress& progress = progress_of(label);
   progress.last_heartbeat_sent_at = std::max(progress.last_heartbeat_sent_at, heartbeat.sent_at);
-  if (heartbeat.ready && !progress.ready_at) progress.ready_at = context_.now.steady;
-  record_announced_count(heartbeat.cancelled, progress);
+  if (heartbeat.is_ready && !progress.ready_at) progress.ready_at = context_.now.steady;
+  record_announced_count(heartbeat.cancellation_count, progress);
   apply_store_sync(progress);
-  for (const wire::CancellationAck& ack : heartbeat.heard)
+  for (const wire::CancellationAck& ack : heartbeat.cancellation_acks)
     if (ack.label == context_.settings.platform.label && ack.incarnation == context_.incarnation)
-      process_ack(label, ack, heartbeat.cancelled, progress);
+      process_ack(label, ack, heartbeat.cancellation_count, progress);
 }
 
 void Cancellations::record_announced_count(uint64_t count, PeerProgress& progress) const {
@@ -134,7 +134,7 @@
 // is known by our clock, so that time is used.
 void Cancellations::process_ack(const std::string& label, const wire::CancellationAck& ack,
                                 uint64_t announced_count, PeerProgress& progress) {
-  progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancelled);
+  progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancellation_count);
   // Cancellations confirmed by an earlier process of this peer are known only if the replica was
   // synchronized after that process had ended, that is, since its successor is ready.
   const bool earlier_process_covered =
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -34,7 +34,7 @@
   void add_to_heartbeat(wire::ControllerHeartbeat& heartbeat) const;
 
   // Records a peer's cancellations in the replica. `label` is the sender's.
-  void receive(const std::string& label, const wire::Cancelled& message);
+  void receive(const std::string& label, const wire::CancelledJobs& message);
   // Processes the number of cancellations and the acknowledgements in a peer's heartbeat. `label`
   // is the sender's.
   void receive(const std::string& label, const wire::ControllerHeartbeat& heartbeat);
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -51,9 +51,9 @@
   // Stores the heartbeat from a received envelope. `label` is the envelope's.
   void record_heartbeat(const std::string& label, wire::ControllerHeartbeat heartbeat);
   // Sends a packed message of the given kind to one peer. The message may be lost.
-  void send(const std::string& label, wire::PeerKind kind, const std::string& payload);
+  void send(const std::string& label, wire::PeerMessageKind kind, const std::string& payload);
   // Sends a packed message of the given kind to every peer.
-  void broadcast(wire::PeerKind kind, const std::string& payload);
+  void broadcast(wire::PeerMessageKind kind, const std::string& payload);
   // Sets the version of the envelopes sent from now on. Processes of older versions reject
   // envelopes of a newer one.
   void set_envelope_version(int version) { envelope_version_ = version; }
--- a/src/rooksill/membership/upgrade.cc
+++ b/src/rooksill/membership/upgrade.cc
@@ -38,7 +38,7 @@
 
 bool Upgrade::is_running_older_version(const store::Replica& replica, const std::string& label,
                                        const Peer& peer) {
-  if (!is_complete(replica) || !peer.heartbeat.ready ||
+  if (!is_complete(replica) || !peer.heartbeat.is_ready ||
       peer.envelope_version >= model::kPresentVersion)
     return false;
   auto record = replica.versions.find(label);
@@ -68,7 +68,7 @@
 // The revisions of the leader record and of all version records are preconditions, so that the
 // upgrade record is written only if none of them has changed since the decision.
 void Upgrade::write_upgrade_record() {
-  const auto labels = context_.settings.platform.labels();
+  const auto labels = context_.settings.platform.sorted_labels();
   const bool all_upgraded = std::all_of(labels.begin(), labels.end(), [this](const auto& label) {
     return has_present_version(label);
   });
--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -26,20 +26,20 @@
                                    const store::Replica& replica) {
   wire::MachineStatus status;
   status.name = worker.name;
-  status.up = worker.has_reported;
-  status.draining = availability.is_draining;
-  status.silent = worker.is_unreachable;
-  status.faulty = worker.failures.is_faulty;
-  status.termination_notice = worker.terminates_at.has_value();
+  status.is_up = worker.has_reported;
+  status.is_draining = availability.is_draining;
+  status.is_unreachable = worker.is_unreachable;
+  status.is_faulty = worker.failures.is_faulty;
+  status.has_termination_notice = worker.terminates_at.has_value();
   if (availability.is_schedulable) {
     status.cpus_free = capacity.free.cpus;
     std::copy(capacity.cpus_by_priority.begin(), capacity.cpus_by_priority.end(),
               status.cpus_by_priority.begin());
   }
   status.gpus_free = capacity.free.gpus;
-  status.memory_free = capacity.free.memory_gb;
-  status.tasks = capacity.tasks;
-  status.load = utilization(capacity);
+  status.memory_free_gb = capacity.free.memory_gb;
+  status.task_count = capacity.tasks;
+  status.utilization = utilization(capacity);
   for (const auto& entry : worker.images.entries())
     status.images.push_back(replica.image_name(entry.image));
   return status;
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -134,8 +134,8 @@
 void PartitionOwner::apply_routing_update(const wire::RoutingUpdate& update) {
   if (!routed_shards_.is_current(update)) return;
   routed_shards_.apply(update);
-  if (update.full) workers_.clear_draining();
-  workers_.drain(update.drain);
+  if (update.is_full) workers_.clear_draining();
+  workers_.drain(update.machines_to_drain);
   requested_transfers_.insert(requested_transfers_.end(), update.transfers.begin(),
                               update.transfers.end());
   for (const wire::TaskMove& move : update.moves) evict(move);
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -98,7 +98,7 @@
   // ones to make up for lost messages. Returns all statuses if `all` is set.
   std::vector<wire::MachineStatus> collect_status_updates(bool all);
   // Returns the worker addresses learned since the last call, plus a rotating subset of the others.
-  std::vector<wire::Address> collect_address_updates() {
+  std::vector<wire::MachineAddress> collect_address_updates() {
     return workers_.collect_address_updates();
   }
   // Returns the usage of teams with a limited quota in the owned partitions.
--- a/src/rooksill/quota/quota_balancer.cc
+++ b/src/rooksill/quota/quota_balancer.cc
@@ -98,7 +98,7 @@
   std::vector<wire::QuotaTransfer> transfers;
   for (const auto& [team, shortage] : std::exchange(shortages_, {})) {
     double& next_transfer_at_s = next_transfer_at_s_[team];
-    if (context_.now.steady < next_transfer_at_s || !wire::valid_team_name(team)) continue;
+    if (context_.now.steady < next_transfer_at_s || !wire::is_valid_team_name(team)) continue;
     auto transfer = choose_transfer(team, shortage, can_be_source);
     if (!transfer) continue;
     next_transfer_at_s =
--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -17,7 +17,8 @@
 
 double largest_machine_size(const store::Replica& replica, double model::Resources::*amount) {
   double largest = 0;
-  for (const auto& [name, type] : replica.types) largest = std::max(largest, type.capacity.*amount);
+  for (const auto& [name, type] : replica.types)
+    largest = std::max(largest, type.capacity.* amount);
   return largest;
 }
 
@@ -58,11 +59,11 @@
     const TeamPartition share_key{team, partition};
     const double largest_cpus = largest_machine_size(replica, &model::Resources::cpus);
     const double largest_gpus = largest_machine_size(replica, &model::Resources::gpus);
-    share.cpus = initial_share(quota.cpus_max, largest_cpus, share_key, partitions);
-    share.gpus = initial_share(quota.gpus_max, largest_gpus, share_key, partitions);
+    share.cpus = initial_share(quota.max_cpus, largest_cpus, share_key, partitions);
+    share.gpus = initial_share(quota.max_gpus, largest_gpus, share_key, partitions);
   }
-  if (quota.cpus_max <= 0) share.cpus = kUnlimited;
-  if (quota.gpus_max <= 0) share.gpus = kUnlimited;
+  if (quota.max_cpus <= 0) share.cpus = kUnlimited;
+  if (quota.max_gpus <= 0) share.gpus = kUnlimited;
   return share;
 }
 
@@ -70,10 +71,10 @@
                                              const store::Replica& replica,
                                              const std::string& team) {
   auto quota = settings.platform.teams.find(team);
-  if (quota == settings.platform.teams.end() || quota->second.cpus_max <= 0) return std::nullopt;
+  if (quota == settings.platform.teams.end() || quota->second.max_cpus <= 0) return std::nullopt;
   const int partitions = static_cast<int>(replica.leases.size());
   const double largest_cpus = largest_machine_size(replica, &model::Resources::cpus);
-  if (!is_small(quota->second.cpus_max, largest_cpus, partitions)) return std::nullopt;
+  if (!is_small(quota->second.max_cpus, largest_cpus, partitions)) return std::nullopt;
   int holder = 0;
   for (int partition = 1; partition < partitions; ++partition)
     if (quota_share(settings, replica, team, partition).cpus >
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -27,15 +27,15 @@
 Client::Client(const PlatformSettings& settings, CallFn call)
     : settings_(settings),
       call_(std::move(call)),
-      request_limit_(settings.state_rps / settings.controllers),
-      write_limit_(settings.state_write_rps / settings.controllers),
-      writes_per_s_(settings.state_write_rps / settings.controllers) {}
+      request_limit_(settings.store_requests_per_s / settings.controller_count),
+      write_limit_(settings.store_writes_per_s / settings.controller_count),
+      writes_per_s_(settings.store_writes_per_s / settings.controller_count) {}
 
 void Client::tick(double now, int live_controllers) {
   now_ = now;
   const double share = kUsedLimitRatio / std::max(1, live_controllers);
   writes_per_s_ = total_writes_per_s() * share;
-  request_limit_.set_rate(settings_.state_rps * share);
+  request_limit_.set_rate(settings_.store_requests_per_s * share);
   write_limit_.set_rate(writes_per_s_);
   request_limit_.refill(now);
   write_limit_.refill(now);
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -91,7 +91,7 @@
   TransactionResult transaction_result(const runtime::CallDone& response);
   // The write limit of all controllers together.
   double total_writes_per_s() const {
-    return uses_lower_limit_ ? settings_.state_next_write_rps : settings_.state_write_rps;
+    return uses_lower_limit_ ? settings_.store_next_writes_per_s : settings_.store_writes_per_s;
   }
 
   const PlatformSettings& settings_;
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -37,7 +37,7 @@
   void tick();
 
   // Returns the writes committed since the last call, to be sent to the other controllers.
-  std::vector<wire::Update> pop_updates() { return std::exchange(updates_, {}); }
+  std::vector<wire::StoreUpdate> pop_updates() { return std::exchange(updates_, {}); }
 
  private:
   // One call of refresh(). Its keys are read one after the other.
@@ -59,7 +59,7 @@
   runtime::Context& context_;
   Replica& replica_;
   Client& client_;
-  std::vector<wire::Update> updates_;
+  std::vector<wire::StoreUpdate> updates_;
   std::map<uint64_t, Refresh> refreshes_;  // by the id of the refresh
   uint64_t next_id_ = 1;
 };
--- a/src/rooksill/store/replica.cc
+++ b/src/rooksill/store/replica.cc
@@ -17,8 +17,8 @@
 // Returns how many items are stored in one value: as many as fit the limit in force with names of
 // maximum length, and any announced lower limit with names of typical length.
 uint32_t items_per_value(const PlatformSettings& settings, size_t typical_item_bytes) {
-  const size_t items = std::min(settings.state_present_value_bytes / model::kMaxItemBytes,
-                                settings.state_value_bytes / typical_item_bytes);
+  const size_t items = std::min(settings.store_current_max_value_bytes / model::kMaxItemBytes,
+                                settings.store_max_value_bytes / typical_item_bytes);
   return static_cast<uint32_t>(std::max<size_t>(1, items));
 }
 
@@ -38,8 +38,8 @@
 }  // namespace
 
 Replica::Replica(const PlatformSettings& settings)
-    : leases(static_cast<size_t>(settings.controllers)),
-      pages(static_cast<size_t>(settings.controllers)),
+    : leases(static_cast<size_t>(settings.controller_count)),
+      pages(static_cast<size_t>(settings.controller_count)),
       tasks_per_shard_(items_per_value(settings, model::kTypicalTaskBytes)),
       machines_per_page_(items_per_value(settings, model::kTypicalMachineBytes)) {}
 
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -26,7 +26,7 @@
 // rate limit, and a store with frequent changes answers each at once.
 double ReplicaSync::watch_interval_s() const {
   const auto& platform = context_.settings.platform;
-  return platform.controllers / (kWatchRequestRatio * platform.state_rps);
+  return platform.controller_count / (kWatchRequestRatio * platform.store_requests_per_s);
 }
 
 template <typename T>
@@ -49,7 +49,7 @@
 
 void ReplicaSync::list(const std::string& after) {
   has_pending_request_ = client_.request(
-      "GET", wire::list_path(wire::kPrefix, after), "", kListTimeoutS,
+      "GET", wire::list_path(wire::kKeyPrefix, after), "", kListTimeoutS,
       [this, after](const runtime::CallDone& response) { on_page(response, after); });
   if (!has_pending_request_) next_request_at_ = context_.now.steady + watch_interval_s();
 }
@@ -69,7 +69,7 @@
     if (item.key == wire::kLeaderKey) has_leader_key_ = true;
     replica_.apply(item.key, item.value, item.revision);
   }
-  if (page->more && !page->items.empty() && !page->items.back().key.empty()) {
+  if (page->has_more && !page->items.empty() && !page->items.back().key.empty()) {
     list(page->items.back().key);
     if (!has_pending_request_) is_listing_complete_ = false;  // restart from the first page
     return;
@@ -96,8 +96,8 @@
   const double max_wait_s = resumed ? 0 : kWatchHeartbeats * context_.settings.platform.report_s;
   watch_sent_at_ = context_.now.steady;
   has_pending_request_ = client_.request(
-      "GET", wire::watch_path(wire::kPrefix, revision_, max_wait_s), "", max_wait_s + kWatchGraceS,
-      [this](const runtime::CallDone& response) { on_watch(response); });
+      "GET", wire::watch_path(wire::kKeyPrefix, revision_, max_wait_s), "",
+      max_wait_s + kWatchGraceS, [this](const runtime::CallDone& response) { on_watch(response); });
   if (!has_pending_request_) next_request_at_ = context_.now.steady + watch_interval_s();
 }
 
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -50,7 +50,7 @@
   throw FieldError{"status", "unknown", status};
 }
 
-// A cause that this version does not know is an error of the task.
+// Exit causes that this version does not know are treated as task errors.
 ExitCause read_cause(const json& task) {
   const auto cause = field_or<std::string>(task, "cause", "error");
   if (cause == "done") return ExitCause::kDone;
@@ -100,8 +100,8 @@
   return decode_with(Interface::kWorker, [&] { return read_heartbeat(parse_object(body)); });
 }
 
-std::string encode_answer(model::FencingToken fencing_token,
-                          const std::vector<WorkerCommand>& commands) {
+std::string encode_heartbeat_answer(model::FencingToken fencing_token,
+                                    const std::vector<WorkerCommand>& commands) {
   return json{{"baton", fencing_token}, {"orders", encode_command_list(commands)}}.dump();
 }
 
