--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -24,16 +24,16 @@
 constexpr double kStoreStatusesPerReport = 4;
 
 // Parts of a worker's report interval.
-constexpr double kRefusedReports = 0.2;  // by which another's answers come later than our last
-constexpr double kPauseReports = 0.3;    // between two batches: the process stood still
+constexpr double kMinAnswerLagReports = 0.2;  // by which another's answers come later than our last
+constexpr double kPauseThresholdReports = 0.3;    // between two batches: the process stood still
 
 // Incarnations are the time of the start in milliseconds, above so many random bits.
 constexpr int kIncarnationRandomBits = 12;
 
-uint64_t incarnation_at(double wall, uint64_t random) {
-  const auto milliseconds = static_cast<uint64_t>(wall * 1000);
+uint64_t incarnation_at(double wall_time_s, uint64_t random_bits) {
+  const auto milliseconds = static_cast<uint64_t>(wall_time_s * 1000);
   const uint64_t mask = (uint64_t{1} << kIncarnationRandomBits) - 1;
-  return milliseconds << kIncarnationRandomBits | (random & mask);
+  return milliseconds << kIncarnationRandomBits | (random_bits & mask);
 }
 
 store::CallFn call_store_through(runtime::Context& context) {
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-Controller::Controller(const Settings& settings, uint64_t seed, double wall, bool debug_log)
+Controller::Controller(const Settings& settings, uint64_t seed, double start_wall_time_s, bool debug_log)
     : context_(settings, seed),
       replica_(settings.platform),
       client_(settings.platform, call_store_through(context_)),
@@ -71,7 +71,7 @@
       load_log_(context_, replica_, owner_, user_requests_) {
   context_.enable_debug_log(debug_log);
   // Grows from one process of a controller to the next, but for the clock's error.
-  context_.incarnation = incarnation_at(wall, context_.rng());
+  context_.incarnation = incarnation_at(start_wall_time_s, context_.rng());
 }
 
 // ---- The steps of a batch -----------------------------------------------------------------------
@@ -107,7 +107,7 @@
   const double previous = context_.now.steady;
   const double pause_s = now.steady - previous;
   const bool first_batch = previous <= 0;
-  if (first_batch || pause_s < kPauseReports * context_.settings.platform.report_s) return;
+  if (first_batch || pause_s < kPauseThresholdReports * context_.settings.platform.report_s) return;
   context_.resumed_at = now.steady;
   peers_.discount_pause(pause_s);
   context_.info("core", "process was paused for {:.1f} s: no starts until the store has answered",
@@ -119,8 +119,8 @@
 void Controller::handle_commands(const std::vector<runtime::Command>& batch) {
   std::vector<const runtime::Request*> user_requests;
   for (const runtime::Command& command : batch) {
-    if (const auto* done = std::get_if<runtime::CallDone>(&command)) {
-      context_.finish_call(*done);
+    if (const auto* call_done = std::get_if<runtime::CallDone>(&command)) {
+      context_.finish_call(*call_done);
     } else if (const auto* request = std::get_if<runtime::Request>(&command)) {
       if (is_user_request(*request))
         user_requests.push_back(request);
@@ -128,8 +128,8 @@
         handle_request(*request);
     } else if (const auto* message = std::get_if<runtime::PeerMessage>(&command)) {
       handle_peer_message(*message);
-    } else if (const auto* lost = std::get_if<runtime::PeerLost>(&command)) {
-      handle_peer_lost(*lost);
+    } else if (const auto* peer_lost = std::get_if<runtime::PeerLost>(&command)) {
+      handle_peer_lost(*peer_lost);
     }
   }
   for (const runtime::Request* request : user_requests) handle_request(*request);
@@ -159,7 +159,7 @@
   upgrade_.tick(leader_.leading());
   if (membership::Upgrade::complete(replica_)) peers_.set_envelope_version(model::kPresentVersion);
   owner_.tick();
-  if (timeout_check_timer_.fire(now, kTick * kTimeoutCheckTicks)) owner_.check_timeouts();
+  if (timeout_check_timer_.fire(now, kTickIntervalS * kTimeoutCheckTicks)) owner_.check_timeouts();
   if (heartbeat_timer_.fire(now, context_.settings.platform.report_s / kHeartbeatsPerReport)) {
     heartbeat_sender_.send_heartbeat();
     status_publisher_.publish();
@@ -223,36 +223,36 @@
 
 void Controller::reply_readiness(const runtime::Request& request) {
   if (request.method != "GET") return context_.reply(request.id, 405, "{}");
-  if (ready())
+  if (is_ready())
     context_.reply(request.id, 200, "{\"ready\":true}");
   else
     context_.reply(request.id, 503, "{\"ready\":false}", 1);
 }
 
-bool Controller::ready() const {
+bool Controller::is_ready() const {
   if (!replica_.synced || replica_.types.empty()) return false;
-  return client_.healthy() || !better_served_elsewhere();
+  return client_.healthy() || !has_better_connected_peer();
 }
 
 // Whether the store refuses this controller while it answers another one: users do better there. In
 // an outage of the store it answers none, and to be taken out by a load balancer then would cost
 // the time until it trusts this controller again. So the other's last answer must be well after
 // ours.
-bool Controller::better_served_elsewhere() const {
+bool Controller::has_better_connected_peer() const {
   const PlatformSettings& platform = context_.settings.platform;
-  const double answered_since = client_.failing_since() + kRefusedReports * platform.report_s;
+  const double min_peer_answer_time = client_.failing_since() + kMinAnswerLagReports * platform.report_s;
   return std::any_of(platform.peers.begin(), platform.peers.end(), [&](const PeerAddress& address) {
     const membership::Peer* peer = peers_.find(address.label);
     return peer != nullptr && peers_.alive(address.label) && peer->heartbeat.ready &&
-           peer->last_heard - peer->heartbeat.store_age > answered_since;
+           peer->last_heard - peer->heartbeat.store_age > min_peer_answer_time;
   });
 }
 
 // ---- Messages of other controllers --------------------------------------------------------------
 
-void Controller::handle_peer_lost(const runtime::PeerLost& lost) {
-  peers_.connection_lost(lost.label);
-  status_publisher_.connection_lost(lost.label);
+void Controller::handle_peer_lost(const runtime::PeerLost& peer_lost) {
+  peers_.connection_lost(peer_lost.label);
+  status_publisher_.on_connection_lost(peer_lost.label);
 }
 
 void Controller::handle_peer_message(const runtime::PeerMessage& message) {
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -34,7 +34,7 @@
  public:
   // `wall` is the time of the start, in seconds since the Unix epoch; it becomes part of the
   // incarnation. Keeps a reference to `settings`, which must outlive it.
-  Controller(const Settings& settings, uint64_t seed, double wall, bool debug_log);
+  Controller(const Settings& settings, uint64_t seed, double start_wall_time_s, bool debug_log);
 
   // Works through a batch of commands; what is to be done outside is then in effects(). Has to be
   // called at least every kTick seconds, if need be with a runtime::Tick alone.
@@ -42,11 +42,11 @@
   // The caller carries these out and clears them before the next batch.
   runtime::Effects& effects() { return context_.effects(); }
 
-  static constexpr double kTick = 0.05;  // longest time between two batches, in seconds
+  static constexpr double kTickIntervalS = 0.05;  // longest time between two batches, in seconds
 
   // Whether load balancers should send users here.
-  bool ready() const;
-  bool leading() const { return leader_.leading(); }
+  bool is_ready() const;
+  bool is_leading() const { return leader_.leading(); }
   const store::Replica& replica() const { return replica_; }
 
  private:
@@ -55,7 +55,7 @@
   void handle_commands(const std::vector<runtime::Command>& batch);
   void handle_request(const runtime::Request& request);
   void reply_readiness(const runtime::Request& request);
-  void handle_peer_lost(const runtime::PeerLost& lost);
+  void handle_peer_lost(const runtime::PeerLost& peer_lost);
   void handle_peer_message(const runtime::PeerMessage& message);
   // Unpacks the envelope's payload and passes it on with the sender's label; drops malformed ones.
   template <typename Message>
@@ -75,7 +75,7 @@
   void process_replica_changes();
   void broadcast_updates();
 
-  bool better_served_elsewhere() const;
+  bool has_better_connected_peer() const;
 
   runtime::Context context_;
   store::Replica replica_;
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -10,19 +10,19 @@
 namespace {
 // For how many report intervals the store may go without an answer, if its last call failed, before
 // it counts as not answering.
-constexpr double kStoreSilenceReports = 0.5;
+constexpr double kStoreTimeoutReports = 0.5;
 }  // namespace
 
-bool HeartbeatSender::store_answers() const {
+bool HeartbeatSender::is_store_responding() const {
   const double store_age = context_.now.steady - client_.last_answer();
   return client_.healthy() ||
-         store_age < context_.settings.platform.report_s * kStoreSilenceReports;
+         store_age < context_.settings.platform.report_s * kStoreTimeoutReports;
 }
 
 void HeartbeatSender::send_heartbeat() {
   wire::ControllerHeartbeat heartbeat;
   heartbeat.ready = replica_.synced;
-  heartbeat.store_ok = store_answers();
+  heartbeat.store_ok = is_store_responding();
   heartbeat.store_age = context_.now.steady - client_.last_answer();
   heartbeat.suspects_itself = owner_.suspects_itself();
   heartbeat.term = leader_.term();
@@ -35,7 +35,7 @@
 
 void HeartbeatSender::write_liveness_record() {
   const double now = context_.now.steady;
-  if (!liveness_timer_.expired(now) || !replica_.synced || !store_answers()) return;
+  if (!liveness_timer_.expired(now) || !replica_.synced || !is_store_responding()) return;
   const auto recipients = peers_.liveness_recipients(replica_);
   if (recipients.empty()) return;
   model::LivenessRecord record;
--- a/src/rooksill/controller/heartbeat_sender.h
+++ b/src/rooksill/controller/heartbeat_sender.h
@@ -36,7 +36,7 @@
 
  private:
   // Whether the store has answered this controller until lately.
-  bool store_answers() const;
+  bool is_store_responding() const;
 
   runtime::Context& context_;
   const store::Replica& replica_;
--- a/src/rooksill/controller/machine_status_publisher.h
+++ b/src/rooksill/controller/machine_status_publisher.h
@@ -26,7 +26,7 @@
   // To a leader in another process as messages; to one in this process straight into the table.
   void publish();
   // What was sent to this controller may not have arrived: all of it is sent again.
-  void connection_lost(const std::string& label);
+  void on_connection_lost(const std::string& label);
 
  private:
   void send(const std::string& leader, std::vector<wire::MachineStatus> statuses);
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -36,7 +36,7 @@
           Seconds(std::chrono::system_clock::now().time_since_epoch()).count()};
 }
 
-spdlog::level::level_enum log_level(runtime::LogLine::Level level) {
+spdlog::level::level_enum to_spdlog_level(runtime::LogLine::Level level) {
   switch (level) {
     case runtime::LogLine::Level::kError:
       return spdlog::level::err;
@@ -54,28 +54,28 @@
  public:
   explicit Process(const Settings& settings)
       : loop_(ev_loop_new(EVFLAG_AUTO)),
-        controller_(settings, seed(settings), read_clocks().wall,
+        controller_(settings, random_seed(settings), read_clocks().wall,
                     spdlog::get_level() <= spdlog::level::debug),
-        client_(loop_.get(), sockets(settings, runtime::kOutgoingSockets),
-                [this](runtime::CallDone done) { push(std::move(done)); }),
+        client_(loop_.get(), socket_limit(settings, runtime::kOutgoingSockets),
+                [this](runtime::CallDone done) { enqueue(std::move(done)); }),
         server_(loop_.get(), settings.platform.api_address,
-                sockets(settings, runtime::kIncomingSockets),
+                socket_limit(settings, runtime::kIncomingSockets),
                 [this](uint64_t id, net::HttpMessage message) {
-                  push(runtime::Request{id, std::move(message.method), std::move(message.target),
+                  enqueue(runtime::Request{id, std::move(message.method), std::move(message.target),
                                         std::move(message.body)});
                 }),
         peers_(
             loop_.get(), settings.platform,
-            [this](std::string bytes) { push(runtime::PeerMessage{std::move(bytes)}); },
-            [this](std::string label) { push(runtime::PeerLost{std::move(label)}); }),
-        tick_(loop_.get(), 0, Controller::kTick, [this] { push(runtime::Tick{}); }) {
+            [this](std::string bytes) { enqueue(runtime::PeerMessage{std::move(bytes)}); },
+            [this](std::string label) { enqueue(runtime::PeerLost{std::move(label)}); }),
+        tick_timer_(loop_.get(), 0, Controller::kTickIntervalS, [this] { enqueue(runtime::Tick{}); }) {
     ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* w, int) {
       static_cast<Process*>(w->data)->drain();
     });
-    prepare_.data = this;
-    ev_prepare_start(loop_.get(), &prepare_);
+    prepare_watcher_.data = this;
+    ev_prepare_start(loop_.get(), &prepare_watcher_);
   }
-  ~Process() { ev_prepare_stop(loop_.get(), &prepare_); }
+  ~Process() { ev_prepare_stop(loop_.get(), &prepare_watcher_); }
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
@@ -83,33 +83,33 @@
 
  private:
   // `share`: one of runtime/socket_budget.h.
-  static size_t sockets(const Settings& settings, double share) {
+  static size_t socket_limit(const Settings& settings, double share) {
     return static_cast<size_t>(share * settings.platform.max_sockets);
   }
   // Two processes that start at the same moment must not draw the same numbers.
-  static uint64_t seed(const Settings& settings) {
+  static uint64_t random_seed(const Settings& settings) {
     std::random_device device;
     const uint64_t random = (static_cast<uint64_t>(device()) << 32) ^ device();
     return random ^ std::hash<std::string>{}(settings.platform.label);
   }
 
-  void push(runtime::Command command) { queue_.push_back(std::move(command)); }
+  void enqueue(runtime::Command command) { command_queue_.push_back(std::move(command)); }
 
   // Effects may fail at once and queue further commands, so this goes on until there are none.
-  void drain() {
-    while (!queue_.empty()) {
-      std::vector<runtime::Command> batch(std::make_move_iterator(queue_.begin()),
-                                          std::make_move_iterator(queue_.end()));
-      queue_.clear();
+  void process_queue() {
+    while (!command_queue_.empty()) {
+      std::vector<runtime::Command> batch(std::make_move_iterator(command_queue_.begin()),
+                                          std::make_move_iterator(command_queue_.end()));
+      command_queue_.clear();
       controller_.run(batch, read_clocks());
       const runtime::Effects effects = std::exchange(controller_.effects(), {});
-      carry_out(effects);
+      execute_effects(effects);
     }
   }
 
-  void carry_out(const runtime::Effects& effects) {
+  void execute_effects(const runtime::Effects& effects) {
     for (const runtime::LogLine& line : effects.log)
-      spdlog::log(log_level(line.level), "{}: {}", line.component, line.text);
+      spdlog::log(to_spdlog_level(line.level), "{}: {}", line.component, line.text);
     // The other controllers first: they are to know of a cancellation before its user does.
     for (const runtime::PeerSend& message : effects.peer) peers_.send(message.label, message.bytes);
     for (const runtime::Reply& reply : effects.replies)
@@ -119,12 +119,12 @@
 
   std::unique_ptr<struct ev_loop, LoopDeleter> loop_;
   Controller controller_;
-  std::deque<runtime::Command> queue_;
+  std::deque<runtime::Command> command_queue_;
   net::HttpClient client_;
   net::HttpServer server_;
   net::PeerNet peers_;
-  net::Timer tick_;
-  ev_prepare prepare_;
+  net::Timer tick_timer_;
+  ev_prepare prepare_watcher_;
 };
 
 }  // namespace
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -11,166 +11,166 @@
 namespace rooksill::net {
 
 namespace {
-constexpr size_t kMaxHead = size_t{16} * 1024;
-constexpr size_t kMaxBody = size_t{16} * 1024 * 1024;  // a watch has no size limit
-constexpr size_t kIdlePerHost = 8;
-constexpr double kIdle = 30;
+constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
+constexpr size_t kMaxBodyBytes = size_t{16} * 1024 * 1024;  // a watch has no size limit
+constexpr size_t kMaxIdlePerAddress = 8;
+constexpr double kIdleTimeoutS = 30;
 }  // namespace
 
 struct HttpClient::Connection {
   uint64_t id = 0;
   std::string address;
   Socket socket;
-  bool connected = false, busy = false;
-  uint64_t call = 0;
-  std::string out;
-  size_t sent = 0;
-  HttpParser parser{HttpParser::Kind::kResponse, kMaxHead, kMaxBody};
+  bool is_connected = false, has_call = false;
+  uint64_t call_id = 0;
+  std::string send_buffer;
+  size_t bytes_sent = 0;
+  HttpParser parser{HttpParser::Kind::kResponse, kMaxHeadBytes, kMaxBodyBytes};
   double deadline = 0;
   std::unique_ptr<IoWatcher> watcher;
 };
 
-HttpClient::HttpClient(struct ev_loop* loop, size_t max_connections, Done done)
-    : loop_(loop), max_connections_(max_connections), done_(std::move(done)) {
-  sweep_ = std::make_unique<Timer>(loop_, 0.05, 0.05, [this] { sweep(); });
+HttpClient::HttpClient(struct ev_loop* loop, size_t max_connections, CallDoneHandler on_call_done)
+    : loop_(loop), max_connections_(max_connections), on_call_done_(std::move(on_call_done)) {
+  expiry_timer_ = std::make_unique<Timer>(loop_, 0.05, 0.05, [this] { close_expired(); });
 }
 
 HttpClient::~HttpClient() = default;
 
 void HttpClient::call(const runtime::Call& call) {
-  auto& idle = idle_[call.address];
+  auto& idle = idle_by_address_[call.address];
   if (!idle.empty()) {
     const uint64_t id = idle.back();
     idle.pop_back();
-    return start(*connections_.at(id), call);
+    return start_call(*connections_.at(id), call);
   }
   // The state service and the cloud always get their few; workers' share what is left.
   if (call.target == runtime::Target::kWorker && connections_.size() >= max_connections_ &&
-      !drop_idle())
-    return done_({call.id, 0, "", true});
-  Socket s = connect_to(call.address);
-  if (!s.open()) return done_({call.id, 0, "", true});
-  auto c = std::make_unique<Connection>();
-  c->id = next_++;
-  c->address = call.address;
-  c->socket = std::move(s);
-  const uint64_t id = c->id;
-  c->watcher = std::make_unique<IoWatcher>(loop_, c->socket.fd(), EV_READ | EV_WRITE,
-                                           [this, id](int e) { on_io(id, e); });
-  Connection& ref = *c;
-  connections_.emplace(id, std::move(c));
-  start(ref, call);
+      !close_oldest_idle())
+    return on_call_done_({call.id, 0, "", true});
+  Socket socket = connect_to(call.address);
+  if (!socket.is_open()) return on_call_done_({call.id, 0, "", true});
+  auto connection = std::make_unique<Connection>();
+  connection->id = next_connection_id_++;
+  connection->address = call.address;
+  connection->socket = std::move(socket);
+  const uint64_t id = connection->id;
+  connection->watcher = std::make_unique<IoWatcher>(loop_, connection->socket.fd(), EV_READ | EV_WRITE,
+                                           [this, id](int events) { on_io(id, events); });
+  Connection& new_connection = *connection;
+  connections_.emplace(id, std::move(connection));
+  start_call(new_connection, call);
 }
 
-void HttpClient::start(Connection& c, const runtime::Call& call) {
-  c.busy = true;
-  c.call = call.id;
-  c.deadline = ev_now(loop_) + call.timeout_s;
-  c.parser = HttpParser(HttpParser::Kind::kResponse, kMaxHead, kMaxBody);
-  c.sent = 0;
-  c.out = call.method + " " + call.path + " HTTP/1.1\r\nHost: " + c.address + "\r\n";
+void HttpClient::start_call(Connection& connection, const runtime::Call& call) {
+  connection.has_call = true;
+  connection.call_id = call.id;
+  connection.deadline = ev_now(loop_) + call.timeout_s;
+  connection.parser = HttpParser(HttpParser::Kind::kResponse, kMaxHeadBytes, kMaxBodyBytes);
+  connection.bytes_sent = 0;
+  connection.send_buffer = call.method + " " + call.path + " HTTP/1.1\r\nHost: " + connection.address + "\r\n";
   if (call.method != "GET" || !call.body.empty())
-    c.out +=
+    connection.send_buffer +=
         "Content-Type: application/json\r\nContent-Length: " + std::to_string(call.body.size()) +
         "\r\n";
-  c.out += "\r\n" + call.body;
-  if (c.connected) write(c);
+  connection.send_buffer += "\r\n" + call.body;
+  if (connection.is_connected) write(connection);
 }
 
 void HttpClient::on_io(uint64_t id, int events) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  Connection& c = *it->second;
-  if (!c.connected) {
-    if (connect_error(c.socket.fd()) != 0) return fail(id);
+  Connection& connection = *it->second;
+  if (!connection.is_connected) {
+    if (connect_error(connection.socket.fd()) != 0) return close_connection(id);
     if ((events & EV_WRITE) == 0) return;
-    c.connected = true;
-    write(c);
+    connection.is_connected = true;
+    write(connection);
     return;
   }
-  if ((events & EV_WRITE) != 0) write(c);
+  if ((events & EV_WRITE) != 0) write(connection);
   it = connections_.find(id);
   if (it != connections_.end() && (events & EV_READ) != 0) read(*it->second);
 }
 
-void HttpClient::write(Connection& c) {
-  while (c.sent < c.out.size()) {
-    ssize_t n = ::send(c.socket.fd(), c.out.data() + c.sent, c.out.size() - c.sent, MSG_NOSIGNAL);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-      c.watcher->want(EV_READ | EV_WRITE);
+void HttpClient::write(Connection& connection) {
+  while (connection.bytes_sent < connection.send_buffer.size()) {
+    ssize_t written = ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+    if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
+      connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
     }
-    if (n <= 0) return fail(c.id);
-    c.sent += static_cast<size_t>(n);
+    if (written <= 0) return close_connection(connection.id);
+    connection.bytes_sent += static_cast<size_t>(written);
   }
-  c.watcher->want(EV_READ);
+  connection.watcher->set_events(EV_READ);
 }
 
-void HttpClient::read(Connection& c) {
-  const uint64_t id = c.id;
+void HttpClient::read(Connection& connection) {
+  const uint64_t id = connection.id;
   char buffer[32768];
   for (;;) {
-    ssize_t n = ::recv(c.socket.fd(), buffer, sizeof buffer, 0);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 || !c.busy) return fail(id);
-    size_t used = 0;
-    auto state = c.parser.feed({buffer, static_cast<size_t>(n)}, used);
-    if (state == HttpParser::State::kError) return fail(id);
+    ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+    if (received <= 0 || !connection.has_call) return close_connection(id);
+    size_t consumed = 0;
+    auto state = connection.parser.feed({buffer, static_cast<size_t>(received)}, consumed);
+    if (state == HttpParser::State::kError) return close_connection(id);
     if (state == HttpParser::State::kDone) {
-      if (used != static_cast<size_t>(n)) {
+      if (consumed != static_cast<size_t>(received)) {
         // Bytes beyond the answer: this connection cannot be trusted any further.
-        HttpMessage m = c.parser.take();
-        m.close = true;
-        return finish(c, std::move(m));
+        HttpMessage message = connection.parser.extract_message();
+        message.closes_connection = true;
+        return finish_call(connection, std::move(message));
       }
-      return finish(c, c.parser.take());
+      return finish_call(connection, connection.parser.extract_message());
     }
   }
 }
 
-void HttpClient::finish(Connection& c, HttpMessage m) {
-  runtime::CallDone done{c.call, m.status, std::move(m.body), false};
-  c.busy = false;
-  c.deadline = ev_now(loop_) + kIdle;
-  auto& idle = idle_[c.address];
-  if (m.close || idle.size() >= kIdlePerHost)
-    connections_.erase(c.id);
+void HttpClient::finish_call(Connection& connection, HttpMessage message) {
+  runtime::CallDone done{connection.call_id, message.status, std::move(message.body), false};
+  connection.has_call = false;
+  connection.deadline = ev_now(loop_) + kIdleTimeoutS;
+  auto& idle = idle_by_address_[connection.address];
+  if (message.closes_connection || idle.size() >= kMaxIdlePerAddress)
+    connections_.erase(connection.id);
   else
-    idle.push_back(c.id);
-  done_(std::move(done));
+    idle.push_back(connection.id);
+  on_call_done_(std::move(done));
 }
 
-void HttpClient::fail(uint64_t id) {
+void HttpClient::close_connection(uint64_t id) {
   auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  Connection& c = *it->second;
-  if (c.busy) {
-    runtime::CallDone done{c.call, 0, "", !c.connected};
+  Connection& connection = *it->second;
+  if (connection.has_call) {
+    runtime::CallDone done{connection.call_id, 0, "", !connection.is_connected};
     connections_.erase(it);
-    done_(std::move(done));
+    on_call_done_(std::move(done));
     return;
   }
-  idle_[c.address].remove(id);
+  idle_by_address_[connection.address].remove(id);
   connections_.erase(it);
 }
 
 // The connection that has been idle for longest makes room for a new one.
-bool HttpClient::drop_idle() {
+bool HttpClient::close_oldest_idle() {
   const Connection* oldest = nullptr;
-  for (const auto& [id, c] : connections_)
-    if (!c->busy && (oldest == nullptr || c->deadline < oldest->deadline)) oldest = c.get();
+  for (const auto& [id, connection] : connections_)
+    if (!connection->has_call && (oldest == nullptr || connection->deadline < oldest->deadline)) oldest = connection.get();
   if (oldest == nullptr) return false;
-  fail(oldest->id);
+  close_connection(oldest->id);
   return true;
 }
 
-void HttpClient::sweep() {
-  std::vector<uint64_t> late;
-  for (const auto& [id, c] : connections_)
-    if (ev_now(loop_) > c->deadline) late.push_back(id);
-  for (uint64_t id : late) fail(id);
-  for (auto it = idle_.begin(); it != idle_.end();)
-    it = it->second.empty() ? idle_.erase(it) : std::next(it);
+void HttpClient::close_expired() {
+  std::vector<uint64_t> expired;
+  for (const auto& [id, connection] : connections_)
+    if (ev_now(loop_) > connection->deadline) expired.push_back(id);
+  for (uint64_t id : expired) close_connection(id);
+  for (auto it = idle_by_address_.begin(); it != idle_by_address_.end();)
+    it = it->second.empty() ? idle_by_address_.erase(it) : std::next(it);
 }
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/http_parser.cc
+++ b/src/rooksill/net/http_parser.cc
@@ -8,33 +8,33 @@
 namespace {
 
 // Statuses that tell the sender of a request what was wrong with it.
-constexpr int kMalformed = 400;
-constexpr int kBodyTooLarge = 413;
-constexpr int kHeadTooLarge = 431;
+constexpr int kBadRequestStatus = 400;
+constexpr int kContentTooLargeStatus = 413;
+constexpr int kHeadTooLargeStatus = 431;
 
-constexpr size_t kMaxChunkSizeLine = 10;  // bytes; more digits than any body's size has
+constexpr size_t kMaxChunkSizeLineBytes = 10;  // bytes; more digits than any body's size has
 
-bool token_char(unsigned char c) {
+bool is_token_character(unsigned char c) {
   return std::isalnum(c) ||
          std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
 }
 
-std::string lower(std::string_view s) {
-  std::string out(s);
-  for (char& c : out) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-  return out;
+std::string to_lower(std::string_view text) {
+  std::string result(text);
+  for (char& c : result) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+  return result;
 }
 
-std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
-  return s;
+std::string_view trim_whitespace(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
 }
 
-bool has_token(std::string_view list, std::string_view wanted) {
+bool has_token(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     auto comma = list.find(',');
-    if (lower(trim(list.substr(0, comma))) == wanted) return true;
+    if (to_lower(trim_whitespace(list.substr(0, comma))) == token) return true;
     if (comma == std::string_view::npos) break;
     list.remove_prefix(comma + 1);
   }
@@ -54,13 +54,13 @@
 
 // METHOD TARGET VERSION
 bool HttpParser::parse_request_line(std::string_view line) {
-  const auto first = line.find(' ');
-  const auto last = line.rfind(' ');
-  if (first == std::string_view::npos || first == 0 || last == first) return false;
-  const std::string_view method = line.substr(0, first);
-  const std::string_view target = line.substr(first + 1, last - first - 1);
-  if (!parse_version(line.substr(last + 1))) return false;
-  if (!std::all_of(method.begin(), method.end(), token_char)) return false;
+  const auto first_space = line.find(' ');
+  const auto last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || first_space == 0 || last_space == first_space) return false;
+  const std::string_view method = line.substr(0, first_space);
+  const std::string_view target = line.substr(first_space + 1, last_space - first_space - 1);
+  if (!parse_version(line.substr(last_space + 1))) return false;
+  if (!std::all_of(method.begin(), method.end(), is_token_character)) return false;
   if (target.empty() || target.front() != '/') return false;
   for (unsigned char c : target)
     if (c <= ' ' || c >= 127) return false;
@@ -71,10 +71,10 @@
 
 // VERSION STATUS REASON, the reason being optional.
 bool HttpParser::parse_status_line(std::string_view line) {
-  const auto first = line.find(' ');
-  if (first == std::string_view::npos || first == 0) return false;
-  if (!parse_version(line.substr(0, first))) return false;
-  const std::string_view rest = line.substr(first + 1);
+  const auto first_space = line.find(' ');
+  if (first_space == std::string_view::npos || first_space == 0) return false;
+  if (!parse_version(line.substr(0, first_space))) return false;
+  const std::string_view rest = line.substr(first_space + 1);
   if (rest.size() < 3 || (rest.size() > 3 && rest[3] != ' ')) return false;
   int status = 0;
   for (char c : rest.substr(0, 3)) {
@@ -88,7 +88,7 @@
 
 bool HttpParser::parse_version(std::string_view version) {
   if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-  message_.close = version == "HTTP/1.0";
+  message_.closes_connection = version == "HTTP/1.0";
   return true;
 }
 
@@ -96,33 +96,33 @@
   auto colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0) return false;
   std::string_view name = line.substr(0, colon);
-  if (!std::all_of(name.begin(), name.end(), token_char)) return false;
-  std::string_view value = trim(line.substr(colon + 1));
+  if (!std::all_of(name.begin(), name.end(), is_token_character)) return false;
+  std::string_view value = trim_whitespace(line.substr(colon + 1));
   for (unsigned char c : value)
     if ((c < ' ' && c != '\t') || c == 127) return false;
-  std::string key = lower(name);
+  std::string key = to_lower(name);
   if (key == "content-length") {
     // Two lengths, or a length beside chunks, are how requests get smuggled.
-    if (has_length_ || chunked_ || value.empty() || value.size() > 12) return false;
-    size_t n = 0;
+    if (has_content_length_ || is_chunked_ || value.empty() || value.size() > 12) return false;
+    size_t length = 0;
     for (char c : value) {
       if (c < '0' || c > '9') return false;
-      n = n * 10 + static_cast<size_t>(c - '0');
+      length = length * 10 + static_cast<size_t>(c - '0');
     }
-    remaining_ = n;
-    has_length_ = true;
+    remaining_bytes_ = length;
+    has_content_length_ = true;
   } else if (key == "transfer-encoding") {
-    if (has_length_ || chunked_ || lower(value) != "chunked") return false;
-    chunked_ = true;
+    if (has_content_length_ || is_chunked_ || to_lower(value) != "chunked") return false;
+    is_chunked_ = true;
   } else if (key == "connection") {
-    if (has_token(value, "close")) message_.close = true;
+    if (has_token(value, "close")) message_.closes_connection = true;
   }
   return true;
 }
 
 bool HttpParser::parse_head() {
   std::string_view rest(head_);
-  bool first = true;
+  bool is_start_line = true;
   while (!rest.empty()) {
     auto end = rest.find("\r\n");
     if (end == std::string_view::npos) return false;
@@ -131,45 +131,45 @@
     if (line.empty()) break;
     if (line.find('\r') != std::string_view::npos || line.find('\n') != std::string_view::npos)
       return false;
-    if (first ? !parse_start_line(line) : !parse_header(line)) return false;
-    first = false;
+    if (is_start_line ? !parse_start_line(line) : !parse_header(line)) return false;
+    is_start_line = false;
   }
-  return !first;
+  return !is_start_line;
 }
 
-HttpParser::State HttpParser::feed(std::string_view data, size_t& used) {
-  used = 0;
+HttpParser::State HttpParser::feed(std::string_view data, size_t& consumed) {
+  consumed = 0;
   while (phase_ != Phase::kDone && phase_ != Phase::kError) {
-    if (used >= data.size()) return State::kNeedMore;
+    if (consumed >= data.size()) return State::kNeedMore;
     if (phase_ == Phase::kBody || phase_ == Phase::kChunkData)
-      used += take_body(data.substr(used));
+      consumed += append_body(data.substr(consumed));
     else
-      take_character(data[used++]);
+      parse_character(data[consumed++]);
   }
   return phase_ == Phase::kDone ? State::kDone : State::kError;
 }
 
-size_t HttpParser::take_body(std::string_view data) {
-  const size_t size = std::min(remaining_, data.size());
+size_t HttpParser::append_body(std::string_view data) {
+  const size_t size = std::min(remaining_bytes_, data.size());
   message_.body.append(data.substr(0, size));
-  remaining_ -= size;
-  if (remaining_ == 0) {
+  remaining_bytes_ -= size;
+  if (remaining_bytes_ == 0) {
     phase_ = phase_ == Phase::kBody ? Phase::kDone : Phase::kChunkEnd;
     line_.clear();
   }
   return size;
 }
 
-void HttpParser::take_character(char c) {
+void HttpParser::parse_character(char character) {
   switch (phase_) {
     case Phase::kHead:
-      return take_head(c);
+      return parse_head_character(character);
     case Phase::kChunkSize:
-      return take_chunk_size(c);
+      return parse_chunk_size_character(character);
     case Phase::kChunkEnd:
-      return take_chunk_end(c);
+      return parse_chunk_end_character(character);
     case Phase::kTrailer:
-      return take_trailer(c);
+      return parse_trailer_character(character);
     case Phase::kBody:
     case Phase::kChunkData:
     case Phase::kDone:
@@ -178,69 +178,69 @@
   }
 }
 
-void HttpParser::take_head(char c) {
-  head_.push_back(c);
-  if (head_.size() > max_head_) return fail(kHeadTooLarge);
-  if (c != '\n') return;
+void HttpParser::parse_head_character(char character) {
+  head_.push_back(character);
+  if (head_.size() > max_head_bytes_) return fail(kHeadTooLargeStatus);
+  if (character != '\n') return;
   if (head_ == "\r\n") return head_.clear();  // an empty line before a message
   if (head_.size() < 4 || !head_.ends_with("\r\n\r\n")) return;
-  if (!parse_head()) return fail(kMalformed);
-  if (has_length_ && remaining_ > max_body_) return fail(kBodyTooLarge);
-  if (chunked_)
+  if (!parse_head()) return fail(kBadRequestStatus);
+  if (has_content_length_ && remaining_bytes_ > max_body_bytes_) return fail(kContentTooLargeStatus);
+  if (is_chunked_)
     phase_ = Phase::kChunkSize;
   else
-    phase_ = remaining_ > 0 ? Phase::kBody : Phase::kDone;
+    phase_ = remaining_bytes_ > 0 ? Phase::kBody : Phase::kDone;
 }
 
 // Collects a short line (chunk size or trailer); true when it is complete.
-bool HttpParser::take_line(char c) {
-  line_.push_back(c);
-  return c == '\n';
+bool HttpParser::append_to_line(char character) {
+  line_.push_back(character);
+  return character == '\n';
 }
 
-void HttpParser::take_chunk_size(char c) {
-  if (!take_line(c)) {
-    if (line_.size() > kMaxChunkSizeLine) fail(kMalformed);
+void HttpParser::parse_chunk_size_character(char character) {
+  if (!append_to_line(character)) {
+    if (line_.size() > kMaxChunkSizeLineBytes) fail(kBadRequestStatus);
     return;
   }
   size_t size = 0;
   size_t digits = 0;
   for (; digits + 2 < line_.size(); ++digits) {
     const auto digit = static_cast<unsigned char>(line_[digits]);
-    if (!std::isxdigit(digit)) return fail(kMalformed);
+    if (!std::isxdigit(digit)) return fail(kBadRequestStatus);
     const int value = std::isdigit(digit) ? digit - '0' : std::tolower(digit) - 'a' + 10;
     size = size * 16 + static_cast<size_t>(value);
   }
-  if (digits == 0 || line_[digits] != '\r') return fail(kMalformed);
+  if (digits == 0 || line_[digits] != '\r') return fail(kBadRequestStatus);
   line_.clear();
-  if (message_.body.size() + size > max_body_) return fail(kBodyTooLarge);
-  remaining_ = size;
+  if (message_.body.size() + size > max_body_bytes_) return fail(kContentTooLargeStatus);
+  remaining_bytes_ = size;
   phase_ = size > 0 ? Phase::kChunkData : Phase::kTrailer;
 }
 
 // The line end after a chunk's data.
-void HttpParser::take_chunk_end(char c) {
-  if (!take_line(c)) {
-    if (line_.size() > 2) fail(kMalformed);
+void HttpParser::parse_chunk_end_character(char character) {
+  if (!append_to_line(character)) {
+    if (line_.size() > 2) fail(kBadRequestStatus);
     return;
   }
-  if (line_ != "\r\n") return fail(kMalformed);
+  if (line_ != "\r\n") return fail(kBadRequestStatus);
   line_.clear();
   phase_ = Phase::kChunkSize;
 }
 
 // Trailers are read and dropped.
-void HttpParser::take_trailer(char c) {
-  if (++trailer_bytes_ > max_head_) return fail(kHeadTooLarge);
-  if (!take_line(c)) return;
+void HttpParser::parse_trailer_character(char character) {
+  if (++trailer_bytes_ > max_head_bytes_) return fail(kHeadTooLargeStatus);
+  if (!append_to_line(character)) return;
   if (line_ == "\r\n") phase_ = Phase::kDone;
   line_.clear();
 }
 
-HttpMessage HttpParser::take() {
-  HttpMessage out = std::move(message_);
-  *this = HttpParser(kind_, max_head_, max_body_);
-  return out;
+HttpMessage HttpParser::extract_message() {
+  HttpMessage message = std::move(message_);
+  *this = HttpParser(kind_, max_head_bytes_, max_body_bytes_);
+  return message;
 }
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/http_parser.h
+++ b/src/rooksill/net/http_parser.h
@@ -13,7 +13,7 @@
   std::string target;  // of a request
   int status = 0;      // of a response
   std::string body;
-  bool close = false;  // the sender closes the connection after this message
+  bool closes_connection = false;  // the sender closes the connection after this message
 };
 
 class HttpParser {
@@ -22,44 +22,44 @@
   enum class State { kNeedMore, kDone, kError };
 
   // Bounds in bytes; the head is all up to the body, start line included.
-  HttpParser(Kind kind, size_t max_head, size_t max_body)
-      : kind_(kind), max_head_(max_head), max_body_(max_body) {}
+  HttpParser(Kind kind, size_t max_head_bytes, size_t max_body_bytes)
+      : kind_(kind), max_head_bytes_(max_head_bytes), max_body_bytes_(max_body_bytes) {}
 
   // Consumes bytes up to the end of one message; `used` says how many. After kDone the message can
   // be taken; kError is final.
-  State feed(std::string_view data, size_t& used);
+  State feed(std::string_view data, size_t& consumed);
   // The complete message. The parser is then ready for the next one.
-  HttpMessage take();
+  HttpMessage extract_message();
   // The status that tells the sender what was wrong (requests).
   int error_status() const { return error_status_; }
   // Whether no part of a message has been read.
-  bool idle() const { return phase_ == Phase::kHead && head_.empty(); }
+  bool is_idle() const { return phase_ == Phase::kHead && head_.empty(); }
 
  private:
   enum class Phase { kHead, kBody, kChunkSize, kChunkData, kChunkEnd, kTrailer, kDone, kError };
 
   void fail(int status);
-  void take_character(char c);
-  size_t take_body(std::string_view data);
-  void take_head(char c);
-  void take_chunk_size(char c);
-  void take_chunk_end(char c);
-  void take_trailer(char c);
+  void parse_character(char character);
+  size_t append_body(std::string_view data);
+  void parse_head_character(char character);
+  void parse_chunk_size_character(char character);
+  void parse_chunk_end_character(char character);
+  void parse_trailer_character(char character);
   bool parse_head();
   bool parse_start_line(std::string_view line);
   bool parse_request_line(std::string_view line);
   bool parse_status_line(std::string_view line);
   bool parse_version(std::string_view version);
   bool parse_header(std::string_view line);
-  bool take_line(char c);
+  bool append_to_line(char character);
 
   Kind kind_;
-  size_t max_head_, max_body_;
+  size_t max_head_bytes_, max_body_bytes_;
   Phase phase_ = Phase::kHead;
   std::string head_, line_;
   HttpMessage message_;
-  size_t remaining_ = 0, trailer_bytes_ = 0;
-  bool chunked_ = false, has_length_ = false;
+  size_t remaining_bytes_ = 0, trailer_bytes_ = 0;
+  bool is_chunked_ = false, has_content_length_ = false;
   int error_status_ = 400;
 };
 
--- a/src/rooksill/net/http_server.cc
+++ b/src/rooksill/net/http_server.cc
@@ -13,14 +13,14 @@
 namespace rooksill::net {
 
 namespace {
-constexpr size_t kMaxHead = size_t{16} * 1024;
-constexpr size_t kMaxBody = size_t{64} * 1024;  // the protocol's limit of a request
-constexpr double kSlowRequest = 10;             // a request half sent for longer is given up
-constexpr double kIdle = 120;  // a connection without requests for longer is closed
-constexpr size_t kMaxOut = size_t{1024} * 1024;
-constexpr double kCrowded = 0.8;  // part of the room for connections past which none is kept
-
-const char* reason(int status) {
+constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
+constexpr size_t kMaxBodyBytes = size_t{64} * 1024;  // the protocol's limit of a request
+constexpr double kRequestTimeoutS = 10;             // a request half sent for longer is given up
+constexpr double kIdleTimeoutS = 120;  // a connection without requests for longer is closed
+constexpr size_t kMaxSendBufferBytes = size_t{1024} * 1024;
+constexpr double kKeepAliveLimitRatio = 0.8;  // part of the room for connections past which none is kept
+
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -51,45 +51,45 @@
 }  // namespace
 
 struct HttpServer::Connection {
-  Connection(uint64_t i, Socket s)
-      : id(i), socket(std::move(s)), parser(HttpParser::Kind::kRequest, kMaxHead, kMaxBody) {}
+  Connection(uint64_t connection_id, Socket accepted_socket)
+      : id(connection_id), socket(std::move(accepted_socket)), parser(HttpParser::Kind::kRequest, kMaxHeadBytes, kMaxBodyBytes) {}
   uint64_t id;
   Socket socket;
   HttpParser parser;
-  std::string in, out;
-  size_t sent = 0;
-  bool answering = false;  // a request is with the core; later ones wait in `in`
-  bool closing = false, close_after = false;
-  double started = 0;
+  std::string receive_buffer, send_buffer;
+  size_t bytes_sent = 0;
+  bool is_awaiting_reply = false;  // a request is with the core; later ones wait in `in`
+  bool is_closing = false, should_close_after_reply = false;
+  double timeout_started_at = 0;
   std::unique_ptr<IoWatcher> watcher;
 };
 
 HttpServer::HttpServer(struct ev_loop* loop, const std::string& address, size_t max_connections,
-                       Handler handler)
+                       RequestHandler handler)
     : loop_(loop),
       listener_(listen_on(address)),
       max_connections_(max_connections),
       handler_(std::move(handler)) {
-  accept_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept(); });
-  sweep_ = std::make_unique<Timer>(loop_, 5.0, 5.0, [this] { sweep(); });
+  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept_connections(); });
+  expiry_timer_ = std::make_unique<Timer>(loop_, 5.0, 5.0, [this] { close_expired(); });
 }
 
 HttpServer::~HttpServer() = default;
 
-void HttpServer::accept() {
+void HttpServer::accept_connections() {
   for (;;) {
     int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    Socket s(fd);
-    if (connections_.size() >= max_connections_ && !drop_idle()) continue;  // closed at once
-    int on = 1;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const uint64_t id = next_++;
-    auto c = std::make_unique<Connection>(id, std::move(s));
-    c->started = ev_now(loop_);
-    c->watcher =
-        std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int e) { on_io(id, e); });
-    connections_.emplace(id, std::move(c));
+    Socket socket(fd);
+    if (connections_.size() >= max_connections_ && !close_oldest_idle()) continue;  // closed at once
+    int enabled = 1;
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    const uint64_t id = next_connection_id_++;
+    auto connection = std::make_unique<Connection>(id, std::move(socket));
+    connection->timeout_started_at = ev_now(loop_);
+    connection->watcher =
+        std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int events) { on_io(id, events); });
+    connections_.emplace(id, std::move(connection));
   }
 }
 
@@ -101,110 +101,110 @@
   if (it != connections_.end() && (events & EV_READ) != 0) read(*it->second);
 }
 
-void HttpServer::read(Connection& c) {
+void HttpServer::read(Connection& connection) {
   char buffer[16384];
-  const uint64_t id = c.id;
-  ssize_t n = ::recv(c.socket.fd(), buffer, sizeof buffer, 0);
-  if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) return drop(id);
-  if (n < 0) return;
-  if (c.closing) return;
-  if (c.parser.idle() && !c.answering) c.started = ev_now(loop_);
-  c.in.append(buffer, static_cast<size_t>(n));
+  const uint64_t id = connection.id;
+  ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
+  if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR)) return close_connection(id);
+  if (received < 0) return;
+  if (connection.is_closing) return;
+  if (connection.parser.is_idle() && !connection.is_awaiting_reply) connection.timeout_started_at = ev_now(loop_);
+  connection.receive_buffer.append(buffer, static_cast<size_t>(received));
   // Nothing of this protocol pipelines; what is sent ahead is bounded.
-  if (c.answering && c.in.size() > kMaxBody + kMaxHead) return drop(id);
-  parse(c);
+  if (connection.is_awaiting_reply && connection.receive_buffer.size() > kMaxBodyBytes + kMaxHeadBytes) return close_connection(id);
+  parse_request(connection);
 }
 
-bool HttpServer::parse(Connection& c) {
-  if (c.answering || c.in.empty()) return false;
-  size_t used = 0;
-  auto state = c.parser.feed(c.in, used);
-  c.in.erase(0, used);
+bool HttpServer::parse_request(Connection& connection) {
+  if (connection.is_awaiting_reply || connection.receive_buffer.empty()) return false;
+  size_t consumed = 0;
+  auto state = connection.parser.feed(connection.receive_buffer, consumed);
+  connection.receive_buffer.erase(0, consumed);
   if (state == HttpParser::State::kError) {
-    c.closing = true;
-    send(c, c.parser.error_status(), "{\"error\":\"malformed request\"}", 0, true);
+    connection.is_closing = true;
+    send_response(connection, connection.parser.error_status(), "{\"error\":\"malformed request\"}", 0, true);
     return false;
   }
   if (state != HttpParser::State::kDone) return false;
-  HttpMessage m = c.parser.take();
-  c.answering = true;
-  c.close_after = m.close;
-  handler_(c.id, std::move(m));
+  HttpMessage message = connection.parser.extract_message();
+  connection.is_awaiting_reply = true;
+  connection.should_close_after_reply = message.closes_connection;
+  handler_(connection.id, std::move(message));
   return true;
 }
 
 void HttpServer::reply(uint64_t id, int status, const std::string& body, double retry_after_s) {
   auto it = connections_.find(id);
-  if (it == connections_.end() || !it->second->answering) return;
-  Connection& c = *it->second;
-  c.answering = false;
-  c.started = ev_now(loop_);
+  if (it == connections_.end() || !it->second->is_awaiting_reply) return;
+  Connection& connection = *it->second;
+  connection.is_awaiting_reply = false;
+  connection.timeout_started_at = ev_now(loop_);
   // One controller may face all workers and all users, more than it has sockets for: connections
   // are then taken up for one request each, so that everybody's is answered, health checks' too.
-  const bool crowded =
-      static_cast<double>(connections_.size()) > kCrowded * static_cast<double>(max_connections_);
-  send(c, status, body, retry_after_s, c.close_after || crowded);
+  const bool is_near_limit =
+      static_cast<double>(connections_.size()) > kKeepAliveLimitRatio * static_cast<double>(max_connections_);
+  send_response(connection, status, body, retry_after_s, connection.should_close_after_reply || is_near_limit);
   it = connections_.find(id);
-  if (it != connections_.end() && !it->second->closing) parse(*it->second);
+  if (it != connections_.end() && !it->second->is_closing) parse_request(*it->second);
 }
 
-void HttpServer::send(Connection& c, int status, const std::string& body, double retry_after_s,
-                      bool close) {
-  c.out += "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\nContent-Type: " +
+void HttpServer::send_response(Connection& connection, int status, const std::string& body, double retry_after_s,
+                      bool should_close) {
+  connection.send_buffer += "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\nContent-Type: " +
            (body.empty() || body[0] == '{' ? "application/json" : "text/plain; version=0.0.4") +
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   if (retry_after_s > 0)
-    c.out += "Retry-After: " + std::to_string(static_cast<int>(std::ceil(retry_after_s))) + "\r\n";
-  if (close) c.out += "Connection: close\r\n";
-  c.out += "\r\n";
-  c.out += body;
-  if (close) c.closing = true;
-  if (c.out.size() > kMaxOut) return drop(c.id);
-  write(c);
+    connection.send_buffer += "Retry-After: " + std::to_string(static_cast<int>(std::ceil(retry_after_s))) + "\r\n";
+  if (should_close) connection.send_buffer += "Connection: close\r\n";
+  connection.send_buffer += "\r\n";
+  connection.send_buffer += body;
+  if (should_close) connection.is_closing = true;
+  if (connection.send_buffer.size() > kMaxSendBufferBytes) return close_connection(connection.id);
+  write(connection);
 }
 
-void HttpServer::write(Connection& c) {
-  while (c.sent < c.out.size()) {
-    ssize_t n = ::send(c.socket.fd(), c.out.data() + c.sent, c.out.size() - c.sent, MSG_NOSIGNAL);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-      c.watcher->want(EV_READ | EV_WRITE);
+void HttpServer::write(Connection& connection) {
+  while (connection.bytes_sent < connection.send_buffer.size()) {
+    ssize_t written = ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+    if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
+      connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
     }
-    if (n <= 0) return drop(c.id);
-    c.sent += static_cast<size_t>(n);
+    if (written <= 0) return close_connection(connection.id);
+    connection.bytes_sent += static_cast<size_t>(written);
   }
-  c.out.clear();
-  c.sent = 0;
-  if (c.closing) {
+  connection.send_buffer.clear();
+  connection.bytes_sent = 0;
+  if (connection.is_closing) {
     // The other side reads the answer before it sees the end.
-    ::shutdown(c.socket.fd(), SHUT_WR);
-    c.started = ev_now(loop_) - kIdle + kSlowRequest;
+    ::shutdown(connection.socket.fd(), SHUT_WR);
+    connection.timeout_started_at = ev_now(loop_) - kIdleTimeoutS + kRequestTimeoutS;
   }
-  c.watcher->want(EV_READ);
+  connection.watcher->set_events(EV_READ);
 }
 
 // Makes room for a new connection: the one that has been idle for longest goes.
-bool HttpServer::drop_idle() {
+bool HttpServer::close_oldest_idle() {
   const Connection* oldest = nullptr;
-  for (const auto& [id, c] : connections_)
-    if (!c->answering && c->parser.idle() && c->out.empty() &&
-        (oldest == nullptr || c->started < oldest->started))
-      oldest = c.get();
+  for (const auto& [id, connection] : connections_)
+    if (!connection->is_awaiting_reply && connection->parser.is_idle() && connection->send_buffer.empty() &&
+        (oldest == nullptr || connection->timeout_started_at < oldest->timeout_started_at))
+      oldest = connection.get();
   if (oldest == nullptr) return false;
-  drop(oldest->id);
+  close_connection(oldest->id);
   return true;
 }
 
-void HttpServer::drop(uint64_t id) { connections_.erase(id); }
+void HttpServer::close_connection(uint64_t id) { connections_.erase(id); }
 
-void HttpServer::sweep() {
-  std::vector<uint64_t> late;
+void HttpServer::close_expired() {
+  std::vector<uint64_t> expired;
   const double now = ev_now(loop_);
-  for (const auto& [id, c] : connections_) {
-    const bool half = !c->answering && (!c->parser.idle() || !c->out.empty());
-    if (!c->answering && now - c->started > (half ? kSlowRequest : kIdle)) late.push_back(id);
+  for (const auto& [id, connection] : connections_) {
+    const bool is_incomplete = !connection->is_awaiting_reply && (!connection->parser.is_idle() || !connection->send_buffer.empty());
+    if (!connection->is_awaiting_reply && now - connection->timeout_started_at > (is_incomplete ? kRequestTimeoutS : kIdleTimeoutS)) expired.push_back(id);
   }
-  for (uint64_t id : late) drop(id);
+  for (uint64_t id : expired) close_connection(id);
 }
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/http_server.h
+++ b/src/rooksill/net/http_server.h
@@ -16,33 +16,33 @@
 class HttpServer {
  public:
   // (id, method, target, body)
-  using Handler = std::function<void(uint64_t, HttpMessage)>;
+  using RequestHandler = std::function<void(uint64_t, HttpMessage)>;
 
   HttpServer(struct ev_loop* loop, const std::string& address, size_t max_connections,
-             Handler handler);
+             RequestHandler handler);
   ~HttpServer();
   void reply(uint64_t id, int status, const std::string& body, double retry_after_s);
 
  private:
   struct Connection;
-  void accept();
+  void accept_connections();
   void on_io(uint64_t id, int events);
-  void read(Connection& c);
-  bool parse(Connection& c);
-  void write(Connection& c);
-  void send(Connection& c, int status, const std::string& body, double retry_after_s, bool close);
-  void drop(uint64_t id);
-  bool drop_idle();
-  void sweep();
+  void read(Connection& connection);
+  bool parse_request(Connection& connection);
+  void write(Connection& connection);
+  void send_response(Connection& connection, int status, const std::string& body, double retry_after_s, bool should_close);
+  void close_connection(uint64_t id);
+  bool close_oldest_idle();
+  void close_expired();
 
   struct ev_loop* loop_;
   Socket listener_;
   size_t max_connections_;
-  Handler handler_;
+  RequestHandler handler_;
   std::map<uint64_t, std::unique_ptr<Connection>> connections_;
-  uint64_t next_ = 1;
-  std::unique_ptr<IoWatcher> accept_;
-  std::unique_ptr<Timer> sweep_;
+  uint64_t next_connection_id_ = 1;
+  std::unique_ptr<IoWatcher> accept_watcher_;
+  std::unique_ptr<Timer> expiry_timer_;
 };
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -8,27 +8,27 @@
 namespace rooksill::net {
 
 namespace {
-constexpr size_t kMaxFrame = size_t{1024} * 1024;
-constexpr size_t kMaxQueued = size_t{2} * 1024 * 1024;
-constexpr size_t kMaxIncoming = 64;
-constexpr double kReconnect = 0.2;
-constexpr double kConnectPatience = 1.0;
-constexpr double kStuck = 2.0;  // a peer that takes nothing for longer is connected to anew
+constexpr size_t kMaxFrameBytes = size_t{1024} * 1024;
+constexpr size_t kMaxSendBufferBytes = size_t{2} * 1024 * 1024;
+constexpr size_t kMaxIncomingConnections = 64;
+constexpr double kReconnectIntervalS = 0.2;
+constexpr double kConnectTimeoutS = 1.0;
+constexpr double kSendTimeoutS = 2.0;  // a peer that takes nothing for longer is connected to anew
 }  // namespace
 
-struct PeerNet::Out {
+struct PeerNet::OutgoingConnection {
   std::string label, address;
   Socket socket;
-  bool connected = false;
-  double since = 0, progress = 0;
-  std::string queue;
-  size_t sent = 0;
+  bool is_connected = false;
+  double connect_started_at = 0, last_progress_at = 0;
+  std::string send_buffer;
+  size_t bytes_sent = 0;
   std::unique_ptr<IoWatcher> watcher;
 };
 
-struct PeerNet::In {
+struct PeerNet::IncomingConnection {
   Socket socket;
-  std::string buffer;
+  std::string receive_buffer;
   std::unique_ptr<IoWatcher> watcher;
 };
 
@@ -38,131 +38,131 @@
       on_message_(std::move(on_message)),
       on_lost_(std::move(on_lost)),
       listener_(listen_on(settings.back_address)) {
-  accept_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept(); });
-  for (const auto& p : settings.peers) {
-    auto o = std::make_unique<Out>();
-    o->label = p.label;
-    o->address = p.endpoint;
-    connect(*o);
-    out_.emplace(p.label, std::move(o));
+  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept_connections(); });
+  for (const auto& peer : settings.peers) {
+    auto connection = std::make_unique<OutgoingConnection>();
+    connection->label = peer.label;
+    connection->address = peer.endpoint;
+    connect(*connection);
+    outgoing_.emplace(peer.label, std::move(connection));
   }
-  reconnect_ = std::make_unique<Timer>(loop_, kReconnect, kReconnect, [this] {
+  reconnect_timer_ = std::make_unique<Timer>(loop_, kReconnectIntervalS, kReconnectIntervalS, [this] {
     const double now = ev_now(loop_);
-    for (auto& [label, o] : out_) {
-      const bool late = !o->connected && now - o->since > kConnectPatience;
-      const bool stuck = o->connected && !o->queue.empty() && now - o->progress > kStuck;
-      if (!o->socket.open())
-        connect(*o);
-      else if (late || stuck)
-        close(*o);
+    for (auto& [label, connection] : outgoing_) {
+      const bool is_connect_overdue = !connection->is_connected && now - connection->connect_started_at > kConnectTimeoutS;
+      const bool is_send_stalled = connection->is_connected && !connection->send_buffer.empty() && now - connection->last_progress_at > kSendTimeoutS;
+      if (!connection->socket.is_open())
+        connect(*connection);
+      else if (is_connect_overdue || is_send_stalled)
+        close(*connection);
     }
   });
 }
 
 PeerNet::~PeerNet() = default;
 
-void PeerNet::connect(Out& o) {
-  o.socket = connect_to(o.address);
-  o.connected = false;
-  o.since = ev_now(loop_);
-  if (!o.socket.open()) return;
-  o.watcher = std::make_unique<IoWatcher>(loop_, o.socket.fd(), EV_READ | EV_WRITE,
-                                          [this, &o](int e) { on_out(o, e); });
+void PeerNet::connect(OutgoingConnection& connection) {
+  connection.socket = connect_to(connection.address);
+  connection.is_connected = false;
+  connection.connect_started_at = ev_now(loop_);
+  if (!connection.socket.is_open()) return;
+  connection.watcher = std::make_unique<IoWatcher>(loop_, connection.socket.fd(), EV_READ | EV_WRITE,
+                                          [this, &connection](int events) { on_outgoing_io(connection, events); });
 }
 
-void PeerNet::close(Out& o) {
-  const bool was = o.connected;
-  o.watcher.reset();
-  o.socket.reset();
-  o.connected = false;
-  o.queue.clear();
-  o.sent = 0;
-  if (was) on_lost_(o.label);
+void PeerNet::close(OutgoingConnection& connection) {
+  const bool was_connected = connection.is_connected;
+  connection.watcher.reset();
+  connection.socket.reset();
+  connection.is_connected = false;
+  connection.send_buffer.clear();
+  connection.bytes_sent = 0;
+  if (was_connected) on_lost_(connection.label);
 }
 
-void PeerNet::on_out(Out& o, int events) {
-  if (!o.connected) {
-    if (connect_error(o.socket.fd()) != 0) return close(o);
+void PeerNet::on_outgoing_io(OutgoingConnection& connection, int events) {
+  if (!connection.is_connected) {
+    if (connect_error(connection.socket.fd()) != 0) return close(connection);
     if ((events & EV_WRITE) == 0) return;
-    o.connected = true;
-    o.progress = ev_now(loop_);
+    connection.is_connected = true;
+    connection.last_progress_at = ev_now(loop_);
   }
   if ((events & EV_READ) != 0) {
     char buffer[256];  // nothing is ever sent this way: only an end can be read
-    ssize_t n = ::recv(o.socket.fd(), buffer, sizeof buffer, 0);
-    if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR)) return close(o);
+    ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
+    if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR)) return close(connection);
   }
-  write(o);
+  write(connection);
 }
 
-void PeerNet::write(Out& o) {
-  while (o.sent < o.queue.size()) {
-    ssize_t n =
-        ::send(o.socket.fd(), o.queue.data() + o.sent, o.queue.size() - o.sent, MSG_NOSIGNAL);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-      o.watcher->want(EV_READ | EV_WRITE);
+void PeerNet::write(OutgoingConnection& connection) {
+  while (connection.bytes_sent < connection.send_buffer.size()) {
+    ssize_t written =
+        ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+    if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
+      connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
     }
-    if (n <= 0) return close(o);
-    o.sent += static_cast<size_t>(n);
-    o.progress = ev_now(loop_);
+    if (written <= 0) return close(connection);
+    connection.bytes_sent += static_cast<size_t>(written);
+    connection.last_progress_at = ev_now(loop_);
   }
-  o.queue.clear();
-  o.sent = 0;
-  o.watcher->want(EV_READ);
+  connection.send_buffer.clear();
+  connection.bytes_sent = 0;
+  connection.watcher->set_events(EV_READ);
 }
 
 void PeerNet::send(const std::string& label, const std::string& bytes) {
-  auto it = out_.find(label);
-  if (it == out_.end() || !it->second->connected || bytes.size() > kMaxFrame) return;
-  Out& o = *it->second;
-  if (o.queue.size() + bytes.size() > kMaxQueued) return close(o);
-  if (o.queue.empty()) o.progress = ev_now(loop_);
-  const auto n = static_cast<uint32_t>(bytes.size());
-  for (int shift = 24; shift >= 0; shift -= 8) o.queue.push_back(static_cast<char>(n >> shift));
-  o.queue += bytes;
-  write(o);
+  auto it = outgoing_.find(label);
+  if (it == outgoing_.end() || !it->second->is_connected || bytes.size() > kMaxFrameBytes) return;
+  OutgoingConnection& connection = *it->second;
+  if (connection.send_buffer.size() + bytes.size() > kMaxSendBufferBytes) return close(connection);
+  if (connection.send_buffer.empty()) connection.last_progress_at = ev_now(loop_);
+  const auto size = static_cast<uint32_t>(bytes.size());
+  for (int shift = 24; shift >= 0; shift -= 8) connection.send_buffer.push_back(static_cast<char>(size >> shift));
+  connection.send_buffer += bytes;
+  write(connection);
 }
 
-void PeerNet::accept() {
+void PeerNet::accept_connections() {
   for (;;) {
     int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    Socket s(fd);
-    if (in_.size() >= kMaxIncoming) in_.erase(in_.begin());  // the oldest is likeliest dead
-    auto in = std::make_unique<In>();
-    in->socket = std::move(s);
-    const uint64_t id = next_++;
-    in->watcher = std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int) { on_in(id); });
-    in_.emplace(id, std::move(in));
+    Socket socket(fd);
+    if (incoming_.size() >= kMaxIncomingConnections) incoming_.erase(incoming_.begin());  // the oldest is likeliest dead
+    auto connection = std::make_unique<IncomingConnection>();
+    connection->socket = std::move(socket);
+    const uint64_t id = next_incoming_id_++;
+    connection->watcher = std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int) { on_incoming_io(id); });
+    incoming_.emplace(id, std::move(connection));
   }
 }
 
-void PeerNet::on_in(uint64_t id) {
-  auto it = in_.find(id);
-  if (it == in_.end()) return;
-  In& in = *it->second;
+void PeerNet::on_incoming_io(uint64_t id) {
+  auto it = incoming_.find(id);
+  if (it == incoming_.end()) return;
+  IncomingConnection& connection = *it->second;
   char buffer[32768];
-  ssize_t n = ::recv(in.socket.fd(), buffer, sizeof buffer, 0);
-  if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (n <= 0) {
-    in_.erase(it);
+  ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) return;
+  if (received <= 0) {
+    incoming_.erase(it);
     return;
   }
-  in.buffer.append(buffer, static_cast<size_t>(n));
-  size_t at = 0;
-  while (in.buffer.size() - at >= 4) {
-    uint32_t size = 0;
-    for (size_t i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(in.buffer[at + i]);
-    if (size > kMaxFrame) {
-      in_.erase(it);
+  connection.receive_buffer.append(buffer, static_cast<size_t>(received));
+  size_t offset = 0;
+  while (connection.receive_buffer.size() - offset >= 4) {
+    uint32_t frame_size = 0;
+    for (size_t i = 0; i < 4; ++i) frame_size = frame_size << 8 | static_cast<unsigned char>(connection.receive_buffer[offset + i]);
+    if (frame_size > kMaxFrameBytes) {
+      incoming_.erase(it);
       return;
     }
-    if (in.buffer.size() - at - 4 < size) break;
-    on_message_(in.buffer.substr(at + 4, size));
-    at += 4 + size;
+    if (connection.receive_buffer.size() - offset - 4 < frame_size) break;
+    on_message_(connection.receive_buffer.substr(offset + 4, frame_size));
+    offset += 4 + frame_size;
   }
-  in.buffer.erase(0, at);
+  connection.receive_buffer.erase(0, offset);
 }
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/peer_net.h
+++ b/src/rooksill/net/peer_net.h
@@ -24,24 +24,24 @@
   void send(const std::string& label, const std::string& bytes);
 
  private:
-  struct Out;
-  struct In;
-  void connect(Out& o);
-  void on_out(Out& o, int events);
-  void write(Out& o);
-  void close(Out& o);
-  void accept();
-  void on_in(uint64_t id);
+  struct OutgoingConnection;
+  struct IncomingConnection;
+  void connect(OutgoingConnection& connection);
+  void on_outgoing_io(OutgoingConnection& connection, int events);
+  void write(OutgoingConnection& connection);
+  void close(OutgoingConnection& connection);
+  void accept_connections();
+  void on_incoming_io(uint64_t id);
 
   struct ev_loop* loop_;
   OnMessage on_message_;
   OnLost on_lost_;
   Socket listener_;
-  std::unique_ptr<IoWatcher> accept_;
-  std::map<std::string, std::unique_ptr<Out>> out_;
-  std::map<uint64_t, std::unique_ptr<In>> in_;
-  uint64_t next_ = 1;
-  std::unique_ptr<Timer> reconnect_;
+  std::unique_ptr<IoWatcher> accept_watcher_;
+  std::map<std::string, std::unique_ptr<OutgoingConnection>> outgoing_;
+  std::map<uint64_t, std::unique_ptr<IncomingConnection>> incoming_;
+  uint64_t next_incoming_id_ = 1;
+  std::unique_ptr<Timer> reconnect_timer_;
 };
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/socket.cc
+++ b/src/rooksill/net/socket.cc
@@ -16,22 +16,22 @@
 namespace rooksill::net {
 namespace {
 
-bool parse(const std::string& address, sockaddr_in& out) {
+bool parse_address(const std::string& address, sockaddr_in& result) {
   auto colon = address.rfind(':');
   if (colon == std::string::npos) return false;
-  std::memset(&out, 0, sizeof out);
-  out.sin_family = AF_INET;
+  std::memset(&result, 0, sizeof result);
+  result.sin_family = AF_INET;
   uint16_t port = 0;
   const char* end = address.data() + address.size();
   auto [p, ec] = std::from_chars(address.data() + colon + 1, end, port);
   if (ec != std::errc() || p != end) return false;
-  out.sin_port = htons(port);
-  return inet_pton(AF_INET, address.substr(0, colon).c_str(), &out.sin_addr) == 1;
+  result.sin_port = htons(port);
+  return inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr) == 1;
 }
 
-void no_delay(int fd) {
-  int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+void disable_send_delay(int fd) {
+  int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 }  // namespace
@@ -42,26 +42,26 @@
 }
 
 Socket listen_on(const std::string& address) {
-  sockaddr_in a{};
-  if (!parse(address, a)) throw std::runtime_error(address + ": not an address");
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!s.open()) throw std::runtime_error(address + ": " + std::strerror(errno));
-  int on = 1;
-  setsockopt(s.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind(s.fd(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 || listen(s.fd(), 512) != 0)
+  sockaddr_in socket_address{};
+  if (!parse_address(address, socket_address)) throw std::runtime_error(address + ": not an address");
+  Socket listener(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!listener.is_open()) throw std::runtime_error(address + ": " + std::strerror(errno));
+  int enabled = 1;
+  setsockopt(listener.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (bind(listener.fd(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 || listen(listener.fd(), 512) != 0)
     throw std::runtime_error(address + ": " + std::strerror(errno));
-  return s;
+  return listener;
 }
 
 Socket connect_to(const std::string& address) {
-  sockaddr_in a{};
-  if (!parse(address, a)) return {};
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!s.open()) return {};
-  no_delay(s.fd());
-  if (connect(s.fd(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS)
+  sockaddr_in socket_address{};
+  if (!parse_address(address, socket_address)) return {};
+  Socket connection(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!connection.is_open()) return {};
+  disable_send_delay(connection.fd());
+  if (connect(connection.fd(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 && errno != EINPROGRESS)
     return {};
-  return s;
+  return connection;
 }
 
 int connect_error(int fd) {
--- a/src/rooksill/net/socket.h
+++ b/src/rooksill/net/socket.h
@@ -10,11 +10,11 @@
   Socket() = default;
   explicit Socket(int fd) : fd_(fd) {}
   ~Socket() { reset(); }
-  Socket(Socket&& o) noexcept : fd_(o.release()) {}
-  Socket& operator=(Socket&& o) noexcept {
-    if (this != &o) {
+  Socket(Socket&& other) noexcept : fd_(other.release()) {}
+  Socket& operator=(Socket&& other) noexcept {
+    if (this != &other) {
       reset();
-      fd_ = o.release();
+      fd_ = other.release();
     }
     return *this;
   }
@@ -22,12 +22,12 @@
   Socket& operator=(const Socket&) = delete;
 
   int fd() const { return fd_; }
-  bool open() const { return fd_ >= 0; }
+  bool is_open() const { return fd_ >= 0; }
   void reset();
   int release() {
-    int f = fd_;
+    int released = fd_;
     fd_ = -1;
-    return f;
+    return released;
   }
 
  private:
--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -56,7 +56,7 @@
   HttpParser parser(HttpParser::Kind::kRequest, kMaxHttpHeaders, kMaxHttpBody);
   size_t used = 0;
   if (parser.feed(text, used) != HttpParser::State::kDone) return false;
-  if (parser.take().body.size() > kMaxHttpBody) fail(line, "body over its bound");
+  if (parser.extract_message().body.size() > kMaxHttpBody) fail(line, "body over its bound");
   return true;
 }
 
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -106,7 +106,7 @@
 }
 
 void ControllerCluster::schedule_tick(size_t controller, uint64_t generation) {
-  simulation_.events.after(Controller::kTick, [this, controller, generation] {
+  simulation_.events.after(Controller::kTickIntervalS, [this, controller, generation] {
     if (process(controller).generation == generation) deliver(controller, Tick{});
   });
 }
@@ -169,14 +169,14 @@
 
 std::optional<size_t> ControllerCluster::leader() const {
   for (size_t i = 0; i < processes_.size(); ++i)
-    if (process(i).core && process(i).core->leading()) return i;
+    if (process(i).core && process(i).core->is_leading()) return i;
   return std::nullopt;
 }
 
 std::optional<size_t> ControllerCluster::random_ready() {
   std::vector<size_t> ready;
   for (size_t i = 0; i < processes_.size(); ++i)
-    if (process(i).core && process(i).core->ready()) ready.push_back(i);
+    if (process(i).core && process(i).core->is_ready()) ready.push_back(i);
   if (ready.empty()) return std::nullopt;
   return ready[simulation_.random.index(ready.size())];
 }
