--- a/src/main.cc
+++ b/src/main.cc
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr int kExitCannotStart = 1;
-constexpr int kExitUsage = 2;  // a bad command line or bad settings
+constexpr int kExitUsage = 2;  // invalid command line or invalid settings
 
 struct Options {
   std::string config_file;
-  std::string operator_settings_file;  // empty: none
+  std::string operator_settings_file;  // optional; empty if not given
   bool check_only = false;
 };
 
@@ -38,7 +38,8 @@
   return settings;
 }
 
-// Log lines go to standard error. LOG_LEVEL is error, info (default) or debug.
+// Configures logging to standard error. The environment variable LOG_LEVEL is error, info (the
+// default) or debug.
 void set_up_log() {
   auto logger = spdlog::stderr_logger_st("rooksill");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -50,9 +51,10 @@
                                        : spdlog::level::info);
 }
 
-// Returns only if the process cannot start.
+// Runs the controller and returns an exit status, normally only if the process cannot start.
 int serve(const rooksill::Settings& settings) {
-  // A peer that closes its connection is no reason to end: writes report it.
+  // Writing to a connection closed by the peer must not terminate the process; the write call
+  // returns the error instead.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     set_up_log();
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -16,18 +16,22 @@
 constexpr const char* kReadyTarget = "/ready";
 
 constexpr double kLeaderIntervalS = 0.1;
-// Timeouts are checked with nearly every tick; less than one, so that none is missed by rounding.
+// In tick intervals. Timeouts are checked on every tick; a value below 1 keeps rounding errors in
+// the clock readings from skipping a tick.
 constexpr double kTimeoutCheckTicks = 0.9;
 
-// Per report interval of a worker.
+// Number of times per worker report interval (report_s).
 constexpr double kHeartbeatsPerReport = 10;
 constexpr double kStoreStatusesPerReport = 4;
 
-// Parts of a worker's report interval.
-constexpr double kMinAnswerLagReports = 0.2;  // by which another's answers come later than our last
-constexpr double kPauseThresholdReports = 0.3;    // between two batches: the process stood still
+// In worker report intervals (report_s).
+// How much later than this controller's last answer from the store a peer must have received one to
+// count as better connected.
+constexpr double kMinAnswerLagReports = 0.2;
+// A longer gap between two batches means that the process was paused.
+constexpr double kPauseThresholdReports = 0.3;
 
-// Incarnations are the time of the start in milliseconds, above so many random bits.
+// An incarnation is the start time in milliseconds, shifted left by this many random bits.
 constexpr int kIncarnationRandomBits = 12;
 
 uint64_t incarnation_at(double wall_time_s, uint64_t random_bits) {
@@ -36,6 +40,7 @@
   return milliseconds << kIncarnationRandomBits | (random_bits & mask);
 }
 
+// Returns a function that calls the state service by queueing an HTTP call as an effect.
 store::CallFn call_store_through(runtime::Context& context) {
   return [&context](std::string method, std::string path, std::string body, double timeout_s,
                     runtime::CallHandler handler) {
@@ -51,7 +56,8 @@
 
 }  // namespace
 
-Controller::Controller(const Settings& settings, uint64_t seed, double start_wall_time_s, bool debug_log)
+Controller::Controller(const Settings& settings, uint64_t seed, double start_wall_time_s,
+                       bool debug_log)
     : context_(settings, seed),
       replica_(settings.platform),
       client_(settings.platform, call_store_through(context_)),
@@ -70,20 +76,20 @@
       status_publisher_(context_, replica_, peers_, owner_, machine_statuses_),
       load_log_(context_, replica_, owner_, user_requests_) {
   context_.enable_debug_log(debug_log);
-  // Grows from one process of a controller to the next, but for the clock's error.
+  // Increases with every restart of this controller, unless the wall clock was set back in between.
   context_.incarnation = incarnation_at(start_wall_time_s, context_.rng());
 }
 
-// ---- The steps of a batch -----------------------------------------------------------------------
+// ---- Steps of a batch -----------------------------------------------------------------------
 
 // The order is part of the protocol:
-//  - Commands come first, so that each decision is made on all that is known.
-//  - Timed steps begin with cancellations: those learned of are numbered and passed on before
-//    anything else is said to peers or users.
-//  - Jobs are routed before tasks are placed, so that a new job need not wait for the next batch.
-//  - Changes of task states are written before submissions and polls, which get what is left of the
+//  - Commands are handled first, so that every decision uses all available information.
+//  - Timed steps begin with cancellations: new ones are numbered and forwarded before any other
+//    message is sent to peers or users.
+//  - Jobs are routed before tasks are placed, so that a new job is placed in the same batch.
+//  - Task state changes are written before submissions and polls, which use the remainder of the
 //    store's rate limit.
-//  - Updates are broadcast last, as each step may add some.
+//  - Updates are broadcast last, because every step may add some.
 void Controller::run(const std::vector<runtime::Command>& batch, runtime::Time now) {
   detect_pause(now);
   context_.now = now;
@@ -100,9 +106,10 @@
   broadcast_updates();
 }
 
-// A process that stood still while its clocks ran on knows nothing of the time between: others may
-// have been leased its partitions and cancelled its jobs. Until the store has answered a question
-// asked since, no task is started for what was decided before.
+// Detects that the process was suspended while its clocks advanced. In the meantime other
+// controllers may have taken over its partition leases, and jobs may have been cancelled. Until the
+// store has answered a request sent after the pause, no task is started on the basis of earlier
+// decisions.
 void Controller::detect_pause(runtime::Time now) {
   const double previous = context_.now.steady;
   const double pause_s = now.steady - previous;
@@ -110,12 +117,13 @@
   if (first_batch || pause_s < kPauseThresholdReports * context_.settings.platform.report_s) return;
   context_.resumed_at = now.steady;
   peers_.discount_pause(pause_s);
-  context_.info("core", "process was paused for {:.1f} s: no starts until the store has answered",
+  context_.info("core",
+                "process was paused for {:.1f} s; no task starts until the store has answered",
                 pause_s);
 }
 
-// Results of calls, workers' reports and peers' messages in the order in which they came; requests
-// of users after them, so that they are answered with all that is known.
+// Handles call results, worker reports and peer messages in order of arrival, then user requests,
+// so that the replies reflect everything received in this batch.
 void Controller::handle_commands(const std::vector<runtime::Command>& batch) {
   std::vector<const runtime::Request*> user_requests;
   for (const runtime::Command& command : batch) {
@@ -135,7 +143,8 @@
   for (const runtime::Request* request : user_requests) handle_request(*request);
 }
 
-// A worker in no partition has reported: the leader has to assign it to one.
+// Forwards a machine that has reported without belonging to a partition to the leader, which
+// assigns it to one.
 void Controller::forward_unassigned_machine() {
   const auto machine = owner_.take_unassigned_machine();
   if (!machine) return;
@@ -167,8 +176,8 @@
   if (leader_timer_.fire(now, kLeaderIntervalS)) run_leader_steps();
 }
 
-// All controllers run these; those that do not lead keep up their figures, so that they can take
-// over at once.
+// Runs on every controller: followers keep their statistics current so that they can take over
+// leadership immediately.
 void Controller::run_leader_steps() {
   const double store_status_interval_s =
       context_.settings.platform.report_s / kStoreStatusesPerReport;
@@ -181,7 +190,7 @@
     owner_.record_address(machine, address);
 }
 
-// Without a leader to route them, new jobs go to the partitions of the controller that took them.
+// Without a leader, routes new jobs to the partitions of the controller that accepted them.
 void Controller::route_accepted_jobs() {
   const std::vector<std::string> accepted = user_requests_.take_accepted();
   if (!leader_.absent()) return;
@@ -193,7 +202,7 @@
   }
 }
 
-// Passes on what the batch has changed in the replica.
+// Notifies the other components of replica changes made by this batch.
 void Controller::process_replica_changes() {
   if (!replica_.changes.touched_jobs.empty()) {
     owner_.request_placement();
@@ -234,13 +243,14 @@
   return client_.healthy() || !has_better_connected_peer();
 }
 
-// Whether the store refuses this controller while it answers another one: users do better there. In
-// an outage of the store it answers none, and to be taken out by a load balancer then would cost
-// the time until it trusts this controller again. So the other's last answer must be well after
-// ours.
+// Returns whether the store does not answer this controller while it answers a ready peer, which
+// can therefore serve users better. During a store outage no controller gets answers, and reporting
+// "not ready" would only keep this one out of the load balancer until its health checks pass again.
+// Therefore the peer's last answer must be later than this controller's by a margin.
 bool Controller::has_better_connected_peer() const {
   const PlatformSettings& platform = context_.settings.platform;
-  const double min_peer_answer_time = client_.failing_since() + kMinAnswerLagReports * platform.report_s;
+  const double min_peer_answer_time =
+      client_.failing_since() + kMinAnswerLagReports * platform.report_s;
   return std::any_of(platform.peers.begin(), platform.peers.end(), [&](const PeerAddress& address) {
     const membership::Peer* peer = peers_.find(address.label);
     return peer != nullptr && peers_.alive(address.label) && peer->heartbeat.ready &&
@@ -248,7 +258,8 @@
   });
 }
 
-// ---- Messages of other controllers --------------------------------------------------------------
+// ---- Messages from other controllers
+// --------------------------------------------------------------
 
 void Controller::handle_peer_lost(const runtime::PeerLost& peer_lost) {
   peers_.connection_lost(peer_lost.label);
@@ -278,7 +289,8 @@
 void Controller::unpack_and_handle(const wire::Envelope& envelope) {
   auto message = wire::unpack<Message>(envelope.payload);
   if (message) return handle_message(envelope.label, std::move(*message));
-  context_.debug("peers", "from {}: {}", envelope.label, message.error().describe());
+  context_.debug("peers", "dropped malformed message from {}: {}", envelope.label,
+                 message.error().describe());
 }
 
 void Controller::handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat) {
@@ -292,7 +304,8 @@
   machine_statuses_.record(sender, std::move(update.machines));
 }
 
-// What another controller has written to the store. Ignored until this replica has been listed.
+// Applies the changes that another controller has written to the store. They are ignored until this
+// replica has been loaded from the store.
 void Controller::handle_message(const std::string& /*sender*/, const wire::Updates& updates) {
   if (!replica_.synced) return;
   for (const wire::Update& update : updates.items) {
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -1,4 +1,5 @@
-// The deterministic core of a controller: commands and the time in, effects out. It does no I/O.
+// The deterministic core of a controller: takes commands and the current time, produces effects,
+// and performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -28,36 +29,44 @@
 
 namespace rooksill::controller {
 
-// Holds the parts of a controller and runs them in a fixed order. Each part keeps its own state;
-// what they know of the cluster they share through the replica of the store.
+// Owns the components of a controller and runs them in a fixed order. Each component keeps its own
+// state; they share the cluster state through the replica of the store.
 class Controller {
  public:
-  // `wall` is the time of the start, in seconds since the Unix epoch; it becomes part of the
-  // incarnation. Keeps a reference to `settings`, which must outlive it.
+  // Creates a controller that has not contacted the store yet. `seed` initializes the random number
+  // generator. `start_wall_time_s` is the start time in seconds since the Unix epoch and becomes
+  // part of the incarnation. `debug_log` enables debug log lines. Keeps a reference to `settings`,
+  // which must outlive the controller.
   Controller(const Settings& settings, uint64_t seed, double start_wall_time_s, bool debug_log);
 
-  // Works through a batch of commands; what is to be done outside is then in effects(). Has to be
-  // called at least every kTick seconds, if need be with a runtime::Tick alone.
+  // Processes a batch of commands at time `now` and adds the resulting I/O requests to effects().
+  // Must be called at least every kTickIntervalS seconds, if necessary with only a runtime::Tick.
   void run(const std::vector<runtime::Command>& batch, runtime::Time now);
-  // The caller carries these out and clears them before the next batch.
+  // Returns the effects of the last batch. The caller executes and clears them before the next
+  // batch.
   runtime::Effects& effects() { return context_.effects(); }
 
-  static constexpr double kTickIntervalS = 0.05;  // longest time between two batches, in seconds
+  // Maximum time between two batches.
+  static constexpr double kTickIntervalS = 0.05;
 
-  // Whether load balancers should send users here.
+  // Returns whether load balancers should route users to this controller: its replica is loaded and
+  // no ready peer has clearly better access to the store.
   bool is_ready() const;
+  // Returns whether this controller is the leader.
   bool is_leading() const { return leader_.leading(); }
+  // Returns the local copy of the store's contents.
   const store::Replica& replica() const { return replica_; }
 
  private:
-  // Commands.
+  // Command handling.
   void detect_pause(runtime::Time now);
   void handle_commands(const std::vector<runtime::Command>& batch);
   void handle_request(const runtime::Request& request);
   void reply_readiness(const runtime::Request& request);
   void handle_peer_lost(const runtime::PeerLost& peer_lost);
   void handle_peer_message(const runtime::PeerMessage& message);
-  // Unpacks the envelope's payload and passes it on with the sender's label; drops malformed ones.
+  // Unpacks the envelope's payload and calls handle_message() with the sender's label. Drops
+  // malformed messages.
   template <typename Message>
   void unpack_and_handle(const wire::Envelope& envelope);
   void handle_message(const std::string& sender, wire::ControllerHeartbeat heartbeat);
@@ -67,7 +76,7 @@
   void handle_message(const std::string& sender, const wire::RoutingUpdate& routing);
   void handle_message(const std::string& sender, const wire::UnassignedMachine& machine);
 
-  // Steps of a batch after its commands.
+  // Steps of a batch that follow command handling.
   void forward_unassigned_machine();
   void run_timed_steps();
   void run_leader_steps();
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -8,8 +8,8 @@
 namespace rooksill::controller {
 
 namespace {
-// For how many report intervals the store may go without an answer, if its last call failed, before
-// it counts as not answering.
+// In worker report intervals (report_s): time without an answer after which the store counts as not
+// responding, provided that the last call to it failed.
 constexpr double kStoreTimeoutReports = 0.5;
 }  // namespace
 
@@ -45,7 +45,7 @@
   record.silent = owner_.silent_machines();
   record.unreachable_zones = owner_.unreachable_zones();
   const auto key = wire::liveness_key(context_.settings.platform.label);
-  // An outcome is not needed: the next record replaces this one.
+  // The result is ignored because the next record replaces this one.
   const bool sent = committer_.commit({}, {{key, wire::encode_liveness(record), 0}},
                                       [](const store::TransactionResult&) {});
   if (!sent) return;
--- a/src/rooksill/controller/heartbeat_sender.h
+++ b/src/rooksill/controller/heartbeat_sender.h
@@ -1,4 +1,4 @@
-// Tells the other controllers that this one is alive, and what it knows of itself.
+// Sends heartbeats with the state of this controller to the other controllers.
 #pragma once
 
 #include "rooksill/leader/leader.h"
@@ -13,6 +13,8 @@
 
 namespace rooksill::controller {
 
+// Sends heartbeats over peer connections and, for controllers without a working connection, writes
+// liveness records into the store.
 class HeartbeatSender {
  public:
   HeartbeatSender(runtime::Context& context, const store::Replica& replica,
@@ -28,14 +30,14 @@
         owner_(owner),
         leader_(leader) {}
 
-  // Sends a heartbeat to all other controllers over their connections.
+  // Broadcasts a heartbeat to all other controllers over their connections.
   void send_heartbeat();
-  // For controllers that no connection reaches: writes a liveness record into the store, at most
-  // once per Peers::liveness_interval(), and only while there is such a controller.
+  // Writes a liveness record into the store if some controller cannot be reached over its
+  // connection, at most once per Peers::liveness_interval().
   void write_liveness_record();
 
  private:
-  // Whether the store has answered this controller until lately.
+  // Returns whether the last call to the store succeeded or the store has answered recently.
   bool is_store_responding() const;
 
   runtime::Context& context_;
--- a/src/rooksill/controller/load_log.cc
+++ b/src/rooksill/controller/load_log.cc
@@ -11,7 +11,7 @@
   const Settings& settings = context_.settings;
   const double period_s = settings.operators.period_reports * settings.platform.report_s;
   if (!timer_.fire(context_.now.steady, period_s)) return;
-  // The first period starts now; there is nothing to tell about it yet.
+  // The first call only starts the first period, which has no statistics yet.
   if (!std::exchange(first_period_, false)) write(period_s);
 }
 
--- a/src/rooksill/controller/load_log.h
+++ b/src/rooksill/controller/load_log.h
@@ -1,4 +1,4 @@
-// The periodic line in the log that tells what this controller does and how much is queued.
+// Periodic log line with the operation rates and queue lengths of this controller.
 #pragma once
 
 #include "rooksill/api/user_requests.h"
@@ -9,17 +9,19 @@
 
 namespace rooksill::controller {
 
-// One line per sizing period. It is enough to tell an overload from a fault.
+// Writes one line per sizing period (period_reports worker report intervals). The line contains
+// enough to distinguish an overload from a fault.
 class LoadLog {
  public:
   LoadLog(runtime::Context& context, const store::Replica& replica,
           partition::PartitionOwner& owner, const api::UserRequests& user_requests)
       : context_(context), replica_(replica), owner_(owner), user_requests_(user_requests) {}
 
-  // Writes the line if it is due.
+  // Writes the line if a period has ended since the last one. Call it in every batch.
   void tick();
 
  private:
+  // Writes the line and resets the counters it reports.
   void write(double period_s);
 
   runtime::Context& context_;
--- a/src/rooksill/controller/machine_status_publisher.h
+++ b/src/rooksill/controller/machine_status_publisher.h
@@ -1,4 +1,4 @@
-// Tells the leader about the machines in this controller's partitions.
+// Publishes the status of the machines in this controller's partitions to the leader.
 #pragma once
 
 #include <string>
@@ -14,8 +14,8 @@
 
 namespace rooksill::controller {
 
-// A new leader is told about all machines, and from then on what changes. Messages may be lost: the
-// owner repeats some of the unchanged statuses each time.
+// Sends a new leader the status of all machines, and from then on only changes. Because messages
+// may be lost, the partition owner includes some of the unchanged statuses each time.
 class MachineStatusPublisher {
  public:
   MachineStatusPublisher(const runtime::Context& context, const store::Replica& replica,
@@ -23,12 +23,15 @@
                          leader::MachineStatusTable& table)
       : context_(context), replica_(replica), peers_(peers), owner_(owner), table_(table) {}
 
-  // To a leader in another process as messages; to one in this process straight into the table.
+  // Sends the statuses to the leader, or records them directly in the table if this controller
+  // leads. Does nothing while there is no leader.
   void publish();
-  // What was sent to this controller may not have arrived: all of it is sent again.
+  // Handles the loss of the connection to the controller `label`. If it is the leader, messages to
+  // it may have been lost, so all statuses are sent again.
   void on_connection_lost(const std::string& label);
 
  private:
+  // Sends the statuses to the controller `leader`, split into messages of limited size.
   void send(const std::string& leader, std::vector<wire::MachineStatus> statuses);
 
   const runtime::Context& context_;
@@ -36,7 +39,7 @@
   membership::Peers& peers_;
   partition::PartitionOwner& owner_;
   leader::MachineStatusTable& table_;
-  model::Leadership published_to_;  // the leader that was told about all machines
+  model::Leadership published_to_;  // the leader that has been sent all statuses
 };
 
 }  // namespace rooksill::controller
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -48,8 +48,8 @@
   return spdlog::level::info;
 }
 
-// The event loop around the core. What comes in from the network is queued; before each wait of the
-// loop the queue goes to the core as one batch, and the batch's effects are carried out.
+// Runs the controller core in an event loop. Network input is queued as commands; before each wait
+// of the loop the core processes the queue as one batch, and the effects of the batch are executed.
 class Process {
  public:
   explicit Process(const Settings& settings)
@@ -62,15 +62,16 @@
                 socket_limit(settings, runtime::kIncomingSockets),
                 [this](uint64_t id, net::HttpMessage message) {
                   enqueue(runtime::Request{id, std::move(message.method), std::move(message.target),
-                                        std::move(message.body)});
+                                           std::move(message.body)});
                 }),
         peers_(
             loop_.get(), settings.platform,
             [this](std::string bytes) { enqueue(runtime::PeerMessage{std::move(bytes)}); },
             [this](std::string label) { enqueue(runtime::PeerLost{std::move(label)}); }),
-        tick_timer_(loop_.get(), 0, Controller::kTickIntervalS, [this] { enqueue(runtime::Tick{}); }) {
-    ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* w, int) {
-      static_cast<Process*>(w->data)->drain();
+        tick_timer_(loop_.get(), 0, Controller::kTickIntervalS,
+                    [this] { enqueue(runtime::Tick{}); }) {
+    ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* watcher, int) {
+      static_cast<Process*>(watcher->data)->process_queue();
     });
     prepare_watcher_.data = this;
     ev_prepare_start(loop_.get(), &prepare_watcher_);
@@ -79,14 +80,16 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
+  // Runs the event loop until the process is killed.
   void run() { ev_run(loop_.get(), 0); }
 
  private:
-  // `share`: one of runtime/socket_budget.h.
+  // Returns the number of sockets in `share`, one of the constants in runtime/socket_budget.h.
   static size_t socket_limit(const Settings& settings, double share) {
     return static_cast<size_t>(share * settings.platform.max_sockets);
   }
-  // Two processes that start at the same moment must not draw the same numbers.
+  // Mixes in the controller's label, so that two processes that start at the same time do not use
+  // the same random sequence.
   static uint64_t random_seed(const Settings& settings) {
     std::random_device device;
     const uint64_t random = (static_cast<uint64_t>(device()) << 32) ^ device();
@@ -95,7 +98,8 @@
 
   void enqueue(runtime::Command command) { command_queue_.push_back(std::move(command)); }
 
-  // Effects may fail at once and queue further commands, so this goes on until there are none.
+  // Processes batches until the queue is empty: an effect that fails immediately queues further
+  // commands.
   void process_queue() {
     while (!command_queue_.empty()) {
       std::vector<runtime::Command> batch(std::make_move_iterator(command_queue_.begin()),
@@ -110,7 +114,8 @@
   void execute_effects(const runtime::Effects& effects) {
     for (const runtime::LogLine& line : effects.log)
       spdlog::log(to_spdlog_level(line.level), "{}: {}", line.component, line.text);
-    // The other controllers first: they are to know of a cancellation before its user does.
+    // Peer messages are sent before replies, so that the other controllers receive a cancellation
+    // before the user gets its confirmation.
     for (const runtime::PeerSend& message : effects.peer) peers_.send(message.label, message.bytes);
     for (const runtime::Reply& reply : effects.replies)
       server_.reply(reply.request, reply.status, reply.body, reply.retry_after_s);
--- a/src/rooksill/controller/process.h
+++ b/src/rooksill/controller/process.h
@@ -1,11 +1,12 @@
-// A controller as a process: its core with the event loop and the network around it.
+// A controller process: the controller core with its event loop and network connections.
 #pragma once
 
 #include "rooksill/settings/settings.h"
 
 namespace rooksill::controller {
 
-// Runs until the process is killed. Throws std::runtime_error if it cannot start.
+// Runs a controller with the given settings until the process is killed. Throws std::runtime_error
+// if it cannot listen on its addresses.
 void serve(const Settings& settings);
 
 }  // namespace rooksill::controller
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -55,8 +55,9 @@
   connection->address = call.address;
   connection->socket = std::move(socket);
   const uint64_t id = connection->id;
-  connection->watcher = std::make_unique<IoWatcher>(loop_, connection->socket.fd(), EV_READ | EV_WRITE,
-                                           [this, id](int events) { on_io(id, events); });
+  connection->watcher =
+      std::make_unique<IoWatcher>(loop_, connection->socket.fd(), EV_READ | EV_WRITE,
+                                  [this, id](int events) { on_io(id, events); });
   Connection& new_connection = *connection;
   connections_.emplace(id, std::move(connection));
   start_call(new_connection, call);
@@ -68,7 +69,8 @@
   connection.deadline = ev_now(loop_) + call.timeout_s;
   connection.parser = HttpParser(HttpParser::Kind::kResponse, kMaxHeadBytes, kMaxBodyBytes);
   connection.bytes_sent = 0;
-  connection.send_buffer = call.method + " " + call.path + " HTTP/1.1\r\nHost: " + connection.address + "\r\n";
+  connection.send_buffer =
+      call.method + " " + call.path + " HTTP/1.1\r\nHost: " + connection.address + "\r\n";
   if (call.method != "GET" || !call.body.empty())
     connection.send_buffer +=
         "Content-Type: application/json\r\nContent-Length: " + std::to_string(call.body.size()) +
@@ -95,7 +97,9 @@
 
 void HttpClient::write(Connection& connection) {
   while (connection.bytes_sent < connection.send_buffer.size()) {
-    ssize_t written = ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+    ssize_t written =
+        ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent,
+               connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
     if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
       connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
@@ -158,7 +162,8 @@
 bool HttpClient::close_oldest_idle() {
   const Connection* oldest = nullptr;
   for (const auto& [id, connection] : connections_)
-    if (!connection->has_call && (oldest == nullptr || connection->deadline < oldest->deadline)) oldest = connection.get();
+    if (!connection->has_call && (oldest == nullptr || connection->deadline < oldest->deadline))
+      oldest = connection.get();
   if (oldest == nullptr) return false;
   close_connection(oldest->id);
   return true;
--- a/src/rooksill/net/http_parser.cc
+++ b/src/rooksill/net/http_parser.cc
@@ -56,7 +56,8 @@
 bool HttpParser::parse_request_line(std::string_view line) {
   const auto first_space = line.find(' ');
   const auto last_space = line.rfind(' ');
-  if (first_space == std::string_view::npos || first_space == 0 || last_space == first_space) return false;
+  if (first_space == std::string_view::npos || first_space == 0 || last_space == first_space)
+    return false;
   const std::string_view method = line.substr(0, first_space);
   const std::string_view target = line.substr(first_space + 1, last_space - first_space - 1);
   if (!parse_version(line.substr(last_space + 1))) return false;
@@ -185,7 +186,8 @@
   if (head_ == "\r\n") return head_.clear();  // an empty line before a message
   if (head_.size() < 4 || !head_.ends_with("\r\n\r\n")) return;
   if (!parse_head()) return fail(kBadRequestStatus);
-  if (has_content_length_ && remaining_bytes_ > max_body_bytes_) return fail(kContentTooLargeStatus);
+  if (has_content_length_ && remaining_bytes_ > max_body_bytes_)
+    return fail(kContentTooLargeStatus);
   if (is_chunked_)
     phase_ = Phase::kChunkSize;
   else
--- a/src/rooksill/net/http_server.cc
+++ b/src/rooksill/net/http_server.cc
@@ -15,10 +15,11 @@
 namespace {
 constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
 constexpr size_t kMaxBodyBytes = size_t{64} * 1024;  // the protocol's limit of a request
-constexpr double kRequestTimeoutS = 10;             // a request half sent for longer is given up
+constexpr double kRequestTimeoutS = 10;              // a request half sent for longer is given up
 constexpr double kIdleTimeoutS = 120;  // a connection without requests for longer is closed
 constexpr size_t kMaxSendBufferBytes = size_t{1024} * 1024;
-constexpr double kKeepAliveLimitRatio = 0.8;  // part of the room for connections past which none is kept
+constexpr double kKeepAliveLimitRatio =
+    0.8;  // part of the room for connections past which none is kept
 
 const char* reason_phrase(int status) {
   switch (status) {
@@ -52,7 +53,9 @@
 
 struct HttpServer::Connection {
   Connection(uint64_t connection_id, Socket accepted_socket)
-      : id(connection_id), socket(std::move(accepted_socket)), parser(HttpParser::Kind::kRequest, kMaxHeadBytes, kMaxBodyBytes) {}
+      : id(connection_id),
+        socket(std::move(accepted_socket)),
+        parser(HttpParser::Kind::kRequest, kMaxHeadBytes, kMaxBodyBytes) {}
   uint64_t id;
   Socket socket;
   HttpParser parser;
@@ -70,7 +73,8 @@
       listener_(listen_on(address)),
       max_connections_(max_connections),
       handler_(std::move(handler)) {
-  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept_connections(); });
+  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ,
+                                                [this](int) { accept_connections(); });
   expiry_timer_ = std::make_unique<Timer>(loop_, 5.0, 5.0, [this] { close_expired(); });
 }
 
@@ -81,14 +85,15 @@
     int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     Socket socket(fd);
-    if (connections_.size() >= max_connections_ && !close_oldest_idle()) continue;  // closed at once
+    if (connections_.size() >= max_connections_ && !close_oldest_idle())
+      continue;  // closed at once
     int enabled = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     const uint64_t id = next_connection_id_++;
     auto connection = std::make_unique<Connection>(id, std::move(socket));
     connection->timeout_started_at = ev_now(loop_);
-    connection->watcher =
-        std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int events) { on_io(id, events); });
+    connection->watcher = std::make_unique<IoWatcher>(
+        loop_, fd, EV_READ, [this, id](int events) { on_io(id, events); });
     connections_.emplace(id, std::move(connection));
   }
 }
@@ -105,13 +110,17 @@
   char buffer[16384];
   const uint64_t id = connection.id;
   ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
-  if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR)) return close_connection(id);
+  if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR))
+    return close_connection(id);
   if (received < 0) return;
   if (connection.is_closing) return;
-  if (connection.parser.is_idle() && !connection.is_awaiting_reply) connection.timeout_started_at = ev_now(loop_);
+  if (connection.parser.is_idle() && !connection.is_awaiting_reply)
+    connection.timeout_started_at = ev_now(loop_);
   connection.receive_buffer.append(buffer, static_cast<size_t>(received));
   // Nothing of this protocol pipelines; what is sent ahead is bounded.
-  if (connection.is_awaiting_reply && connection.receive_buffer.size() > kMaxBodyBytes + kMaxHeadBytes) return close_connection(id);
+  if (connection.is_awaiting_reply &&
+      connection.receive_buffer.size() > kMaxBodyBytes + kMaxHeadBytes)
+    return close_connection(id);
   parse_request(connection);
 }
 
@@ -122,7 +131,8 @@
   connection.receive_buffer.erase(0, consumed);
   if (state == HttpParser::State::kError) {
     connection.is_closing = true;
-    send_response(connection, connection.parser.error_status(), "{\"error\":\"malformed request\"}", 0, true);
+    send_response(connection, connection.parser.error_status(), "{\"error\":\"malformed request\"}",
+                  0, true);
     return false;
   }
   if (state != HttpParser::State::kDone) return false;
@@ -141,20 +151,23 @@
   connection.timeout_started_at = ev_now(loop_);
   // One controller may face all workers and all users, more than it has sockets for: connections
   // are then taken up for one request each, so that everybody's is answered, health checks' too.
-  const bool is_near_limit =
-      static_cast<double>(connections_.size()) > kKeepAliveLimitRatio * static_cast<double>(max_connections_);
-  send_response(connection, status, body, retry_after_s, connection.should_close_after_reply || is_near_limit);
+  const bool is_near_limit = static_cast<double>(connections_.size()) >
+                             kKeepAliveLimitRatio * static_cast<double>(max_connections_);
+  send_response(connection, status, body, retry_after_s,
+                connection.should_close_after_reply || is_near_limit);
   it = connections_.find(id);
   if (it != connections_.end() && !it->second->is_closing) parse_request(*it->second);
 }
 
-void HttpServer::send_response(Connection& connection, int status, const std::string& body, double retry_after_s,
-                      bool should_close) {
-  connection.send_buffer += "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\nContent-Type: " +
-           (body.empty() || body[0] == '{' ? "application/json" : "text/plain; version=0.0.4") +
-           "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
+void HttpServer::send_response(Connection& connection, int status, const std::string& body,
+                               double retry_after_s, bool should_close) {
+  connection.send_buffer +=
+      "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\nContent-Type: " +
+      (body.empty() || body[0] == '{' ? "application/json" : "text/plain; version=0.0.4") +
+      "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   if (retry_after_s > 0)
-    connection.send_buffer += "Retry-After: " + std::to_string(static_cast<int>(std::ceil(retry_after_s))) + "\r\n";
+    connection.send_buffer +=
+        "Retry-After: " + std::to_string(static_cast<int>(std::ceil(retry_after_s))) + "\r\n";
   if (should_close) connection.send_buffer += "Connection: close\r\n";
   connection.send_buffer += "\r\n";
   connection.send_buffer += body;
@@ -165,7 +178,9 @@
 
 void HttpServer::write(Connection& connection) {
   while (connection.bytes_sent < connection.send_buffer.size()) {
-    ssize_t written = ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+    ssize_t written =
+        ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent,
+               connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
     if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
       connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
@@ -187,7 +202,8 @@
 bool HttpServer::close_oldest_idle() {
   const Connection* oldest = nullptr;
   for (const auto& [id, connection] : connections_)
-    if (!connection->is_awaiting_reply && connection->parser.is_idle() && connection->send_buffer.empty() &&
+    if (!connection->is_awaiting_reply && connection->parser.is_idle() &&
+        connection->send_buffer.empty() &&
         (oldest == nullptr || connection->timeout_started_at < oldest->timeout_started_at))
       oldest = connection.get();
   if (oldest == nullptr) return false;
@@ -201,8 +217,11 @@
   std::vector<uint64_t> expired;
   const double now = ev_now(loop_);
   for (const auto& [id, connection] : connections_) {
-    const bool is_incomplete = !connection->is_awaiting_reply && (!connection->parser.is_idle() || !connection->send_buffer.empty());
-    if (!connection->is_awaiting_reply && now - connection->timeout_started_at > (is_incomplete ? kRequestTimeoutS : kIdleTimeoutS)) expired.push_back(id);
+    const bool is_incomplete = !connection->is_awaiting_reply &&
+                               (!connection->parser.is_idle() || !connection->send_buffer.empty());
+    if (!connection->is_awaiting_reply &&
+        now - connection->timeout_started_at > (is_incomplete ? kRequestTimeoutS : kIdleTimeoutS))
+      expired.push_back(id);
   }
   for (uint64_t id : expired) close_connection(id);
 }
--- a/src/rooksill/net/http_server.h
+++ b/src/rooksill/net/http_server.h
@@ -30,7 +30,8 @@
   void read(Connection& connection);
   bool parse_request(Connection& connection);
   void write(Connection& connection);
-  void send_response(Connection& connection, int status, const std::string& body, double retry_after_s, bool should_close);
+  void send_response(Connection& connection, int status, const std::string& body,
+                     double retry_after_s, bool should_close);
   void close_connection(uint64_t id);
   bool close_oldest_idle();
   void close_expired();
--- a/src/rooksill/net/loop.h
+++ b/src/rooksill/net/loop.h
@@ -11,7 +11,8 @@
 class IoWatcher {
  public:
   using Callback = std::function<void(int events)>;
-  IoWatcher(struct ev_loop* loop, int fd, int events, Callback callback) : loop_(loop), callback_(std::move(callback)) {
+  IoWatcher(struct ev_loop* loop, int fd, int events, Callback callback)
+      : loop_(loop), callback_(std::move(callback)) {
     ev_io_init(&io_, &IoWatcher::on_event, fd, events);
     io_.data = this;
     ev_io_start(loop_, &io_);
@@ -51,7 +52,9 @@
   Timer& operator=(const Timer&) = delete;
 
  private:
-  static void on_event(struct ev_loop*, ev_timer* timer, int) { static_cast<Timer*>(timer->data)->callback_(); }
+  static void on_event(struct ev_loop*, ev_timer* timer, int) {
+    static_cast<Timer*>(timer->data)->callback_();
+  }
   struct ev_loop* loop_;
   ev_timer timer_;
   Callback callback_;
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -38,7 +38,8 @@
       on_message_(std::move(on_message)),
       on_lost_(std::move(on_lost)),
       listener_(listen_on(settings.back_address)) {
-  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ, [this](int) { accept_connections(); });
+  accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ,
+                                                [this](int) { accept_connections(); });
   for (const auto& peer : settings.peers) {
     auto connection = std::make_unique<OutgoingConnection>();
     connection->label = peer.label;
@@ -46,17 +47,21 @@
     connect(*connection);
     outgoing_.emplace(peer.label, std::move(connection));
   }
-  reconnect_timer_ = std::make_unique<Timer>(loop_, kReconnectIntervalS, kReconnectIntervalS, [this] {
-    const double now = ev_now(loop_);
-    for (auto& [label, connection] : outgoing_) {
-      const bool is_connect_overdue = !connection->is_connected && now - connection->connect_started_at > kConnectTimeoutS;
-      const bool is_send_stalled = connection->is_connected && !connection->send_buffer.empty() && now - connection->last_progress_at > kSendTimeoutS;
-      if (!connection->socket.is_open())
-        connect(*connection);
-      else if (is_connect_overdue || is_send_stalled)
-        close(*connection);
-    }
-  });
+  reconnect_timer_ =
+      std::make_unique<Timer>(loop_, kReconnectIntervalS, kReconnectIntervalS, [this] {
+        const double now = ev_now(loop_);
+        for (auto& [label, connection] : outgoing_) {
+          const bool is_connect_overdue =
+              !connection->is_connected && now - connection->connect_started_at > kConnectTimeoutS;
+          const bool is_send_stalled = connection->is_connected &&
+                                       !connection->send_buffer.empty() &&
+                                       now - connection->last_progress_at > kSendTimeoutS;
+          if (!connection->socket.is_open())
+            connect(*connection);
+          else if (is_connect_overdue || is_send_stalled)
+            close(*connection);
+        }
+      });
 }
 
 PeerNet::~PeerNet() = default;
@@ -66,8 +71,9 @@
   connection.is_connected = false;
   connection.connect_started_at = ev_now(loop_);
   if (!connection.socket.is_open()) return;
-  connection.watcher = std::make_unique<IoWatcher>(loop_, connection.socket.fd(), EV_READ | EV_WRITE,
-                                          [this, &connection](int events) { on_outgoing_io(connection, events); });
+  connection.watcher = std::make_unique<IoWatcher>(
+      loop_, connection.socket.fd(), EV_READ | EV_WRITE,
+      [this, &connection](int events) { on_outgoing_io(connection, events); });
 }
 
 void PeerNet::close(OutgoingConnection& connection) {
@@ -90,7 +96,8 @@
   if ((events & EV_READ) != 0) {
     char buffer[256];  // nothing is ever sent this way: only an end can be read
     ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
-    if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR)) return close(connection);
+    if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR))
+      return close(connection);
   }
   write(connection);
 }
@@ -98,7 +105,8 @@
 void PeerNet::write(OutgoingConnection& connection) {
   while (connection.bytes_sent < connection.send_buffer.size()) {
     ssize_t written =
-        ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent, connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
+        ::send(connection.socket.fd(), connection.send_buffer.data() + connection.bytes_sent,
+               connection.send_buffer.size() - connection.bytes_sent, MSG_NOSIGNAL);
     if (written < 0 && (errno == EAGAIN || errno == EINTR)) {
       connection.watcher->set_events(EV_READ | EV_WRITE);
       return;
@@ -119,7 +127,8 @@
   if (connection.send_buffer.size() + bytes.size() > kMaxSendBufferBytes) return close(connection);
   if (connection.send_buffer.empty()) connection.last_progress_at = ev_now(loop_);
   const auto size = static_cast<uint32_t>(bytes.size());
-  for (int shift = 24; shift >= 0; shift -= 8) connection.send_buffer.push_back(static_cast<char>(size >> shift));
+  for (int shift = 24; shift >= 0; shift -= 8)
+    connection.send_buffer.push_back(static_cast<char>(size >> shift));
   connection.send_buffer += bytes;
   write(connection);
 }
@@ -129,11 +138,13 @@
     int fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     Socket socket(fd);
-    if (incoming_.size() >= kMaxIncomingConnections) incoming_.erase(incoming_.begin());  // the oldest is likeliest dead
+    if (incoming_.size() >= kMaxIncomingConnections)
+      incoming_.erase(incoming_.begin());  // the oldest is likeliest dead
     auto connection = std::make_unique<IncomingConnection>();
     connection->socket = std::move(socket);
     const uint64_t id = next_incoming_id_++;
-    connection->watcher = std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int) { on_incoming_io(id); });
+    connection->watcher =
+        std::make_unique<IoWatcher>(loop_, fd, EV_READ, [this, id](int) { on_incoming_io(id); });
     incoming_.emplace(id, std::move(connection));
   }
 }
@@ -153,7 +164,9 @@
   size_t offset = 0;
   while (connection.receive_buffer.size() - offset >= 4) {
     uint32_t frame_size = 0;
-    for (size_t i = 0; i < 4; ++i) frame_size = frame_size << 8 | static_cast<unsigned char>(connection.receive_buffer[offset + i]);
+    for (size_t i = 0; i < 4; ++i)
+      frame_size =
+          frame_size << 8 | static_cast<unsigned char>(connection.receive_buffer[offset + i]);
     if (frame_size > kMaxFrameBytes) {
       incoming_.erase(it);
       return;
--- a/src/rooksill/net/socket.cc
+++ b/src/rooksill/net/socket.cc
@@ -43,12 +43,15 @@
 
 Socket listen_on(const std::string& address) {
   sockaddr_in socket_address{};
-  if (!parse_address(address, socket_address)) throw std::runtime_error(address + ": not an address");
+  if (!parse_address(address, socket_address))
+    throw std::runtime_error(address + ": not an address");
   Socket listener(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!listener.is_open()) throw std::runtime_error(address + ": " + std::strerror(errno));
   int enabled = 1;
   setsockopt(listener.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-  if (bind(listener.fd(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 || listen(listener.fd(), 512) != 0)
+  if (bind(listener.fd(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) !=
+          0 ||
+      listen(listener.fd(), 512) != 0)
     throw std::runtime_error(address + ": " + std::strerror(errno));
   return listener;
 }
@@ -59,7 +62,9 @@
   Socket connection(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!connection.is_open()) return {};
   disable_send_delay(connection.fd());
-  if (connect(connection.fd(), reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 && errno != EINPROGRESS)
+  if (connect(connection.fd(), reinterpret_cast<sockaddr*>(&socket_address),
+              sizeof socket_address) != 0 &&
+      errno != EINPROGRESS)
     return {};
   return connection;
 }
