--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -49,8 +49,8 @@
   // Maximum time between two batches.
   static constexpr double kTickIntervalS = 0.05;
 
-  // Returns whether load balancers should route users to this controller: its replica is loaded and
-  // no ready peer has clearly better access to the store.
+  // Returns whether load balancers should route users to this controller: its replica is loaded,
+  // the machine types are known, and no ready peer has clearly better access to the store.
   bool is_ready() const;
   // Returns whether this controller is the leader.
   bool is_leading() const { return leader_.leading(); }
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -12,7 +12,8 @@
 
 namespace {
 constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
-constexpr size_t kMaxBodyBytes = size_t{16} * 1024 * 1024;  // a watch has no size limit
+// Larger than any expected response: the protocol does not limit the size of a watch response.
+constexpr size_t kMaxBodyBytes = size_t{16} * 1024 * 1024;
 constexpr size_t kMaxIdlePerAddress = 8;
 constexpr double kIdleTimeoutS = 30;
 }  // namespace
@@ -22,11 +23,11 @@
   std::string address;
   Socket socket;
   bool is_connected = false, has_call = false;
-  uint64_t call_id = 0;
+  uint64_t call_id = 0;  // of the call in progress
   std::string send_buffer;
   size_t bytes_sent = 0;
   HttpParser parser{HttpParser::Kind::kResponse, kMaxHeadBytes, kMaxBodyBytes};
-  double deadline = 0;
+  double deadline = 0;  // of the call, or of the idle connection, by the loop's clock
   std::unique_ptr<IoWatcher> watcher;
 };
 
@@ -44,7 +45,8 @@
     idle.pop_back();
     return start_call(*connections_.at(id), call);
   }
-  // The state service and the cloud always get their few; workers' share what is left.
+  // The limit applies to worker calls only: the state service and the cloud need few connections
+  // and always get them.
   if (call.target == runtime::Target::kWorker && connections_.size() >= max_connections_ &&
       !close_oldest_idle())
     return on_call_done_({call.id, 0, "", true});
@@ -122,7 +124,7 @@
     if (state == HttpParser::State::kError) return close_connection(id);
     if (state == HttpParser::State::kDone) {
       if (consumed != static_cast<size_t>(received)) {
-        // Bytes beyond the answer: this connection cannot be trusted any further.
+        // The server sent bytes after the response, so the connection is not reused.
         HttpMessage message = connection.parser.extract_message();
         message.closes_connection = true;
         return finish_call(connection, std::move(message));
@@ -158,7 +160,6 @@
   connections_.erase(it);
 }
 
-// The connection that has been idle for longest makes room for a new one.
 bool HttpClient::close_oldest_idle() {
   const Connection* oldest = nullptr;
   for (const auto& [id, connection] : connections_)
--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -1,4 +1,4 @@
-// The calling side: the state service, the cloud and workers, over kept connections.
+// HTTP client for calls to the state service, the cloud and workers over persistent connections.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,18 @@
 
 namespace rooksill::net {
 
+// Makes asynchronous HTTP calls in an event loop. Each connection carries one call at a time; idle
+// connections are kept for further calls to the same address.
 class HttpClient {
  public:
+  // Receives the outcome of each call exactly once, possibly before call() returns.
   using CallDoneHandler = std::function<void(runtime::CallDone)>;
 
+  // Creates a client that runs in `loop`, which must outlive it. `max_connections` limits the
+  // connections to workers: a worker call that would need another one fails as refused.
   HttpClient(struct ev_loop* loop, size_t max_connections, CallDoneHandler on_call_done);
   ~HttpClient();
+  // Starts a call. Its outcome, also a failure or timeout, is passed to the handler.
   void call(const runtime::Call& call);
 
  private:
@@ -31,16 +37,21 @@
   void start_call(Connection& connection, const runtime::Call& call);
   void write(Connection& connection);
   void read(Connection& connection);
-  // Ends the connection; a call on it gets no answer, unless it can go out once more.
+  // Closes a connection. A call in progress on it fails with status 0, as refused if the connection
+  // was never established.
   void close_connection(uint64_t id);
+  // Reports the response to the call on `connection`, and keeps the connection if possible.
   void finish_call(Connection& connection, HttpMessage message);
+  // Closes the connections whose call timeout or idle timeout has expired.
   void close_expired();
+  // Closes the connection that has been idle longest; returns false if none is idle.
   bool close_oldest_idle();
 
   struct ev_loop* loop_;
   size_t max_connections_;
   CallDoneHandler on_call_done_;
   std::map<uint64_t, std::unique_ptr<Connection>> connections_;
+  // Identifiers of idle connections, by address; the most recently used one is last.
   std::map<std::string, std::list<uint64_t>> idle_by_address_;
   uint64_t next_connection_id_ = 1;
   std::unique_ptr<Timer> expiry_timer_;
--- a/src/rooksill/net/http_parser.cc
+++ b/src/rooksill/net/http_parser.cc
@@ -7,12 +7,12 @@
 namespace rooksill::net {
 namespace {
 
-// Statuses that tell the sender of a request what was wrong with it.
+// HTTP statuses for requests that cannot be parsed.
 constexpr int kBadRequestStatus = 400;
 constexpr int kContentTooLargeStatus = 413;
 constexpr int kHeadTooLargeStatus = 431;
 
-constexpr size_t kMaxChunkSizeLineBytes = 10;  // bytes; more digits than any body's size has
+constexpr size_t kMaxChunkSizeLineBytes = 10;  // more than the size of any accepted body needs
 
 bool is_token_character(unsigned char c) {
   return std::isalnum(c) ||
@@ -52,7 +52,7 @@
   return kind_ == Kind::kRequest ? parse_request_line(line) : parse_status_line(line);
 }
 
-// METHOD TARGET VERSION
+// Parses METHOD TARGET VERSION.
 bool HttpParser::parse_request_line(std::string_view line) {
   const auto first_space = line.find(' ');
   const auto last_space = line.rfind(' ');
@@ -70,7 +70,7 @@
   return true;
 }
 
-// VERSION STATUS REASON, the reason being optional.
+// Parses VERSION STATUS REASON, where REASON is optional.
 bool HttpParser::parse_status_line(std::string_view line) {
   const auto first_space = line.find(' ');
   if (first_space == std::string_view::npos || first_space == 0) return false;
@@ -103,7 +103,7 @@
     if ((c < ' ' && c != '\t') || c == 127) return false;
   std::string key = to_lower(name);
   if (key == "content-length") {
-    // Two lengths, or a length beside chunks, are how requests get smuggled.
+    // Two lengths, or a length together with chunked encoding, allow request smuggling.
     if (has_content_length_ || is_chunked_ || value.empty() || value.size() > 12) return false;
     size_t length = 0;
     for (char c : value) {
@@ -183,7 +183,7 @@
   head_.push_back(character);
   if (head_.size() > max_head_bytes_) return fail(kHeadTooLargeStatus);
   if (character != '\n') return;
-  if (head_ == "\r\n") return head_.clear();  // an empty line before a message
+  if (head_ == "\r\n") return head_.clear();  // ignores empty lines before a message
   if (head_.size() < 4 || !head_.ends_with("\r\n\r\n")) return;
   if (!parse_head()) return fail(kBadRequestStatus);
   if (has_content_length_ && remaining_bytes_ > max_body_bytes_)
@@ -194,7 +194,6 @@
     phase_ = remaining_bytes_ > 0 ? Phase::kBody : Phase::kDone;
 }
 
-// Collects a short line (chunk size or trailer); true when it is complete.
 bool HttpParser::append_to_line(char character) {
   line_.push_back(character);
   return character == '\n';
@@ -220,7 +219,7 @@
   phase_ = size > 0 ? Phase::kChunkData : Phase::kTrailer;
 }
 
-// The line end after a chunk's data.
+// Expects the line end after the data of a chunk.
 void HttpParser::parse_chunk_end_character(char character) {
   if (!append_to_line(character)) {
     if (line_.size() > 2) fail(kBadRequestStatus);
@@ -231,7 +230,7 @@
   phase_ = Phase::kChunkSize;
 }
 
-// Trailers are read and dropped.
+// Reads trailers and discards them.
 void HttpParser::parse_trailer_character(char character) {
   if (++trailer_bytes_ > max_head_bytes_) return fail(kHeadTooLargeStatus);
   if (!append_to_line(character)) return;
--- a/src/rooksill/net/http_parser.h
+++ b/src/rooksill/net/http_parser.h
@@ -1,5 +1,5 @@
-// Strict, bounded, incremental parser for HTTP/1.1 messages. What is unusual is refused, not
-// guessed at: two parties that read one message in two ways are how requests get smuggled.
+// Strict incremental parser for HTTP/1.1 messages with size limits. Ambiguous or unusual input is
+// rejected, because two parties that interpret a message differently allow request smuggling.
 #pragma once
 
 #include <cstddef>
@@ -8,31 +8,35 @@
 
 namespace rooksill::net {
 
+// A parsed request or response. Headers are not kept.
 struct HttpMessage {
-  std::string method;  // of a request
-  std::string target;  // of a request
-  int status = 0;      // of a response
+  std::string method;  // requests only
+  std::string target;  // requests only: path and query
+  int status = 0;      // responses only
   std::string body;
   bool closes_connection = false;  // the sender closes the connection after this message
 };
 
+// Parses a sequence of messages of one kind.
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
   enum class State { kNeedMore, kDone, kError };
 
-  // Bounds in bytes; the head is all up to the body, start line included.
+  // Creates a parser with size limits. The head is everything before the body, including the start
+  // line.
   HttpParser(Kind kind, size_t max_head_bytes, size_t max_body_bytes)
       : kind_(kind), max_head_bytes_(max_head_bytes), max_body_bytes_(max_body_bytes) {}
 
-  // Consumes bytes up to the end of one message; `used` says how many. After kDone the message can
-  // be taken; kError is final.
+  // Parses `data` up to the end of a message at most and sets `consumed` to the number of bytes
+  // read. Returns kDone when a message is complete; extract_message() then returns it. After kError
+  // the parser cannot be used any further.
   State feed(std::string_view data, size_t& consumed);
-  // The complete message. The parser is then ready for the next one.
+  // Returns the complete message and resets the parser for the next one.
   HttpMessage extract_message();
-  // The status that tells the sender what was wrong (requests).
+  // Returns the HTTP status to send in reply to a request that could not be parsed.
   int error_status() const { return error_status_; }
-  // Whether no part of a message has been read.
+  // Returns whether no byte of a message has been read yet.
   bool is_idle() const { return phase_ == Phase::kHead && head_.empty(); }
 
  private:
@@ -40,6 +44,7 @@
 
   void fail(int status);
   void parse_character(char character);
+  // Appends data to the body as far as it belongs to the body or chunk; returns the bytes consumed.
   size_t append_body(std::string_view data);
   void parse_head_character(char character);
   void parse_chunk_size_character(char character);
@@ -51,6 +56,7 @@
   bool parse_status_line(std::string_view line);
   bool parse_version(std::string_view version);
   bool parse_header(std::string_view line);
+  // Appends to the current line (chunk size, chunk end or trailer); returns whether it is complete.
   bool append_to_line(char character);
 
   Kind kind_;
@@ -58,6 +64,7 @@
   Phase phase_ = Phase::kHead;
   std::string head_, line_;
   HttpMessage message_;
+  // `remaining_bytes_`: of the body, or of the current chunk.
   size_t remaining_bytes_ = 0, trailer_bytes_ = 0;
   bool is_chunked_ = false, has_content_length_ = false;
   int error_status_ = 400;
--- a/src/rooksill/net/http_server.cc
+++ b/src/rooksill/net/http_server.cc
@@ -14,12 +14,14 @@
 
 namespace {
 constexpr size_t kMaxHeadBytes = size_t{16} * 1024;
-constexpr size_t kMaxBodyBytes = size_t{64} * 1024;  // the protocol's limit of a request
-constexpr double kRequestTimeoutS = 10;              // a request half sent for longer is given up
-constexpr double kIdleTimeoutS = 120;  // a connection without requests for longer is closed
+constexpr size_t kMaxBodyBytes = size_t{64} * 1024;  // the protocol's limit for requests
 constexpr size_t kMaxSendBufferBytes = size_t{1024} * 1024;
-constexpr double kKeepAliveLimitRatio =
-    0.8;  // part of the room for connections past which none is kept
+// A connection is closed after this time with a partly received request or a partly sent response.
+constexpr double kRequestTimeoutS = 10;
+// A connection is closed after this time without a request.
+constexpr double kIdleTimeoutS = 120;
+// Above this fraction of the connection limit, connections are closed after each response.
+constexpr double kKeepAliveLimitRatio = 0.8;
 
 const char* reason_phrase(int status) {
   switch (status) {
@@ -61,9 +63,9 @@
   HttpParser parser;
   std::string receive_buffer, send_buffer;
   size_t bytes_sent = 0;
-  bool is_awaiting_reply = false;  // a request is with the core; later ones wait in `in`
+  bool is_awaiting_reply = false;  // while set, further input stays in `receive_buffer`
   bool is_closing = false, should_close_after_reply = false;
-  double timeout_started_at = 0;
+  double timeout_started_at = 0;  // start of the request or idle timeout, by the loop's clock
   std::unique_ptr<IoWatcher> watcher;
 };
 
@@ -86,7 +88,7 @@
     if (fd < 0) return;
     Socket socket(fd);
     if (connections_.size() >= max_connections_ && !close_oldest_idle())
-      continue;  // closed at once
+      continue;  // the socket's destructor closes it
     int enabled = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     const uint64_t id = next_connection_id_++;
@@ -117,7 +119,7 @@
   if (connection.parser.is_idle() && !connection.is_awaiting_reply)
     connection.timeout_started_at = ev_now(loop_);
   connection.receive_buffer.append(buffer, static_cast<size_t>(received));
-  // Nothing of this protocol pipelines; what is sent ahead is bounded.
+  // Clients of this protocol do not pipeline requests; input received ahead of a reply is limited.
   if (connection.is_awaiting_reply &&
       connection.receive_buffer.size() > kMaxBodyBytes + kMaxHeadBytes)
     return close_connection(id);
@@ -149,8 +151,9 @@
   Connection& connection = *it->second;
   connection.is_awaiting_reply = false;
   connection.timeout_started_at = ev_now(loop_);
-  // One controller may face all workers and all users, more than it has sockets for: connections
-  // are then taken up for one request each, so that everybody's is answered, health checks' too.
+  // A single controller may have to serve all workers and users, which are more than it has sockets
+  // for. Near the limit each connection serves one request only, so that all clients get answers,
+  // including health checks.
   const bool is_near_limit = static_cast<double>(connections_.size()) >
                              kKeepAliveLimitRatio * static_cast<double>(max_connections_);
   send_response(connection, status, body, retry_after_s,
@@ -191,14 +194,14 @@
   connection.send_buffer.clear();
   connection.bytes_sent = 0;
   if (connection.is_closing) {
-    // The other side reads the answer before it sees the end.
+    // Closes only the sending direction, so that the client can read the response. The connection
+    // is closed after kRequestTimeoutS at the latest.
     ::shutdown(connection.socket.fd(), SHUT_WR);
     connection.timeout_started_at = ev_now(loop_) - kIdleTimeoutS + kRequestTimeoutS;
   }
   connection.watcher->set_events(EV_READ);
 }
 
-// Makes room for a new connection: the one that has been idle for longest goes.
 bool HttpServer::close_oldest_idle() {
   const Connection* oldest = nullptr;
   for (const auto& [id, connection] : connections_)
--- a/src/rooksill/net/http_server.h
+++ b/src/rooksill/net/http_server.h
@@ -1,4 +1,4 @@
-// The listening side: users, workers and health checks.
+// HTTP server for users, workers and health checks.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,21 @@
 
 namespace rooksill::net {
 
+// Accepts connections in an event loop and passes their requests to a handler. A connection has one
+// request in progress at a time; its next request is parsed after the reply.
 class HttpServer {
  public:
-  // (id, method, target, body)
+  // Receives a request and the identifier to reply() to.
   using RequestHandler = std::function<void(uint64_t, HttpMessage)>;
 
+  // Listens on `address` ("host:port", the host as an IP address). `loop` must outlive the server.
+  // When `max_connections` are open, a new connection replaces the one that has been idle longest,
+  // or is closed if none is idle. Throws std::runtime_error if it cannot listen.
   HttpServer(struct ev_loop* loop, const std::string& address, size_t max_connections,
              RequestHandler handler);
   ~HttpServer();
+  // Sends the response to request `id`; does nothing if its connection has been closed. A positive
+  // `retry_after_s` is sent as the Retry-After header, rounded up to seconds.
   void reply(uint64_t id, int status, const std::string& body, double retry_after_s);
 
  private:
@@ -28,12 +35,16 @@
   void accept_connections();
   void on_io(uint64_t id, int events);
   void read(Connection& connection);
+  // Parses buffered input and passes a complete request to the handler; returns whether it did.
   bool parse_request(Connection& connection);
   void write(Connection& connection);
+  // Queues and sends a response; `should_close` ends the connection after it.
   void send_response(Connection& connection, int status, const std::string& body,
                      double retry_after_s, bool should_close);
   void close_connection(uint64_t id);
+  // Closes the connection that has been idle longest; returns false if none is idle.
   bool close_oldest_idle();
+  // Closes the connections whose request timeout or idle timeout has expired.
   void close_expired();
 
   struct ev_loop* loop_;
--- a/src/rooksill/net/loop.h
+++ b/src/rooksill/net/loop.h
@@ -1,4 +1,4 @@
-// RAII around libev's watchers.
+// RAII wrappers for libev watchers.
 #pragma once
 
 #include <ev.h>
@@ -8,9 +8,12 @@
 
 namespace rooksill::net {
 
+// Calls a function when a file descriptor is ready, until destroyed.
 class IoWatcher {
  public:
+  // Receives the events that occurred: EV_READ, EV_WRITE or both.
   using Callback = std::function<void(int events)>;
+  // Starts watching `fd` for `events`. The loop and the descriptor must outlive the watcher.
   IoWatcher(struct ev_loop* loop, int fd, int events, Callback callback)
       : loop_(loop), callback_(std::move(callback)) {
     ev_io_init(&io_, &IoWatcher::on_event, fd, events);
@@ -21,6 +24,7 @@
   IoWatcher(const IoWatcher&) = delete;
   IoWatcher& operator=(const IoWatcher&) = delete;
 
+  // Changes the events to watch for.
   void set_events(int events) {
     if (io_.events == (events | EV__IOFDSET) || (io_.events & (EV_READ | EV_WRITE)) == events)
       return;
@@ -38,9 +42,12 @@
   Callback callback_;
 };
 
+// Calls a function after a delay and then at an interval, until destroyed.
 class Timer {
  public:
   using Callback = std::function<void()>;
+  // Starts the timer. With `interval_s` 0 the function is called once. The loop must outlive the
+  // timer.
   Timer(struct ev_loop* loop, double delay_s, double interval_s, Callback callback)
       : loop_(loop), callback_(std::move(callback)) {
     ev_timer_init(&timer_, &Timer::on_event, after, repeat);
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -13,14 +13,15 @@
 constexpr size_t kMaxIncomingConnections = 64;
 constexpr double kReconnectIntervalS = 0.2;
 constexpr double kConnectTimeoutS = 1.0;
-constexpr double kSendTimeoutS = 2.0;  // a peer that takes nothing for longer is connected to anew
+// A connection on which no queued byte could be sent for longer is closed and opened again.
+constexpr double kSendTimeoutS = 2.0;
 }  // namespace
 
 struct PeerNet::OutgoingConnection {
   std::string label, address;
   Socket socket;
   bool is_connected = false;
-  double connect_started_at = 0, last_progress_at = 0;
+  double connect_started_at = 0, last_progress_at = 0;  // by the loop's clock
   std::string send_buffer;
   size_t bytes_sent = 0;
   std::unique_ptr<IoWatcher> watcher;
@@ -94,7 +95,7 @@
     connection.last_progress_at = ev_now(loop_);
   }
   if ((events & EV_READ) != 0) {
-    char buffer[256];  // nothing is ever sent this way: only an end can be read
+    char buffer[256];  // peers send no data on this connection: only its end can be read
     ssize_t received = ::recv(connection.socket.fd(), buffer, sizeof buffer, 0);
     if (received == 0 || (received < 0 && errno != EAGAIN && errno != EINTR))
       return close(connection);
@@ -139,7 +140,8 @@
     if (fd < 0) return;
     Socket socket(fd);
     if (incoming_.size() >= kMaxIncomingConnections)
-      incoming_.erase(incoming_.begin());  // the oldest is likeliest dead
+      // The oldest connection is the most likely to be dead.
+      incoming_.erase(incoming_.begin());
     auto connection = std::make_unique<IncomingConnection>();
     connection->socket = std::move(socket);
     const uint64_t id = next_incoming_id_++;
--- a/src/rooksill/net/peer_net.h
+++ b/src/rooksill/net/peer_net.h
@@ -1,4 +1,5 @@
-// Framed messages between controllers: four bytes of length, then msgpack. One connection each way.
+// Message transport between controllers. A frame is a length of four bytes (big-endian) followed by
+// a msgpack message. Each controller of a pair opens one connection, on which it only sends.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +14,32 @@
 
 namespace rooksill::net {
 
+// Keeps a connection to every other controller, reconnecting as needed, and receives the messages
+// of those that connect to this one. Delivery is not guaranteed.
 class PeerNet {
  public:
+  // Receives the content of each incoming frame.
   using OnMessage = std::function<void(std::string bytes)>;
+  // Is called with a controller's label when the established connection to it ends.
   using OnLost = std::function<void(std::string label)>;
 
+  // Listens on settings.back_address and starts connecting to settings.peers. `loop` must outlive
+  // the object. Throws std::runtime_error if it cannot listen.
   PeerNet(struct ev_loop* loop, const PlatformSettings& settings, OnMessage on_message,
           OnLost on_lost);
   ~PeerNet();
+  // Sends a message to the controller `label`. Drops it if there is no connection or it exceeds the
+  // frame limit; closes the connection if too much unsent data is queued.
   void send(const std::string& label, const std::string& bytes);
 
  private:
   struct OutgoingConnection;
   struct IncomingConnection;
+  // Starts a connection attempt.
   void connect(OutgoingConnection& connection);
   void on_outgoing_io(OutgoingConnection& connection, int events);
   void write(OutgoingConnection& connection);
+  // Closes the connection, dropping unsent messages; the reconnect timer opens it again.
   void close(OutgoingConnection& connection);
   void accept_connections();
   void on_incoming_io(uint64_t id);
--- a/src/rooksill/net/socket.cc
+++ b/src/rooksill/net/socket.cc
@@ -16,6 +16,7 @@
 namespace rooksill::net {
 namespace {
 
+// Parses "host:port", the host as an IPv4 address.
 bool parse_address(const std::string& address, sockaddr_in& result) {
   auto colon = address.rfind(':');
   if (colon == std::string::npos) return false;
@@ -23,8 +24,8 @@
   result.sin_family = AF_INET;
   uint16_t port = 0;
   const char* end = address.data() + address.size();
-  auto [p, ec] = std::from_chars(address.data() + colon + 1, end, port);
-  if (ec != std::errc() || p != end) return false;
+  auto [parsed_end, error] = std::from_chars(address.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_end != end) return false;
   result.sin_port = htons(port);
   return inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr) == 1;
 }
@@ -44,7 +45,7 @@
 Socket listen_on(const std::string& address) {
   sockaddr_in socket_address{};
   if (!parse_address(address, socket_address))
-    throw std::runtime_error(address + ": not an address");
+    throw std::runtime_error(address + ": invalid address, expected IP:port");
   Socket listener(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!listener.is_open()) throw std::runtime_error(address + ": " + std::strerror(errno));
   int enabled = 1;
--- a/src/rooksill/net/socket.h
+++ b/src/rooksill/net/socket.h
@@ -5,9 +5,11 @@
 
 namespace rooksill::net {
 
+// Owns a socket's file descriptor and closes it on destruction.
 class Socket {
  public:
   Socket() = default;
+  // Takes ownership of `fd`.
   explicit Socket(int fd) : fd_(fd) {}
   ~Socket() { reset(); }
   Socket(Socket&& other) noexcept : fd_(other.release()) {}
@@ -21,9 +23,13 @@
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
 
+  // Returns the file descriptor, or -1 if there is none.
   int fd() const { return fd_; }
+  // Returns whether there is a file descriptor.
   bool is_open() const { return fd_ >= 0; }
+  // Closes the socket if it is open.
   void reset();
+  // Returns the file descriptor and gives up its ownership.
   int release() {
     int released = fd_;
     fd_ = -1;
@@ -34,11 +40,14 @@
   int fd_ = -1;
 };
 
-// "host:port", by IP number. Throws std::runtime_error.
+// Returns a listening socket for `address` ("host:port", the host as an IPv4 address). Throws
+// std::runtime_error if the address is invalid or cannot be listened on.
 Socket listen_on(const std::string& address);
-// Starts a connection; not open if it failed at once.
+// Starts connecting to `address` ("host:port", the host as an IPv4 address) and returns the socket.
+// It is not open if the attempt failed immediately.
 Socket connect_to(const std::string& address);
-// The error of a connection attempt that became writable; 0 when it is connected.
+// Returns the error (errno) of a connection attempt whose socket became writable, or 0 if it
+// succeeded.
 int connect_error(int fd);
 
 }  // namespace rooksill::net
