--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -70,7 +70,7 @@
             [this](std::string label) { enqueue(runtime::PeerLost{std::move(label)}); }),
         tick_timer_(loop_.get(), 0, Controller::kTickIntervalS,
                     [this] { enqueue(runtime::Tick{}); }) {
-    ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* watcher, int) {
+    ev_prepare_init(&prepare_watcher_, [](struct ev_loop*, ev_prepare* watcher, int) {
       static_cast<Process*>(watcher->data)->process_queue();
     });
     prepare_watcher_.data = this;
--- a/src/rooksill/net/loop.h
+++ b/src/rooksill/net/loop.h
@@ -50,7 +50,7 @@
   // timer.
   Timer(struct ev_loop* loop, double delay_s, double interval_s, Callback callback)
       : loop_(loop), callback_(std::move(callback)) {
-    ev_timer_init(&timer_, &Timer::on_event, after, repeat);
+    ev_timer_init(&timer_, &Timer::on_event, delay_s, interval_s);
     timer_.data = this;
     ev_timer_start(loop_, &timer_);
   }
