--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -8,21 +8,21 @@
 namespace rooksill::controller {
 
 namespace {
-// For how many report intervals the store may go without an answer, if its last call failed, before
-// it counts as not answering.
-constexpr double kStoreSilenceReports = 0.5;
+// In worker report intervals (report_s): time without an answer after which the store counts as not
+// responding, provided that the last call to it failed.
+constexpr double kStoreTimeoutReports = 0.5;
 }  // namespace
 
-bool HeartbeatSender::store_answers() const {
+bool HeartbeatSender::is_store_responding() const {
   const double store_age = context_.now.steady - client_.last_response_at();
   return client_.is_healthy() ||
-         store_age < context_.settings.platform.report_s * kStoreSilenceReports;
+         store_age < context_.settings.platform.report_s * kStoreTimeoutReports;
 }
 
 void HeartbeatSender::send_heartbeat() {
   wire::ControllerHeartbeat heartbeat;
   heartbeat.is_ready = replica_.synced;
-  heartbeat.is_store_available = store_answers();
+  heartbeat.is_store_available = is_store_responding();
   heartbeat.store_answer_age_s = context_.now.steady - client_.last_response_at();
   heartbeat.suspects_itself = owner_.suspects_own_isolation();
   heartbeat.term = leader_.term();
@@ -35,7 +35,7 @@
 
 void HeartbeatSender::write_liveness_record() {
   const double now = context_.now.steady;
-  if (!liveness_timer_.expired(now) || !replica_.synced || !store_answers()) return;
+  if (!liveness_timer_.expired(now) || !replica_.synced || !is_store_responding()) return;
   const auto recipients = peers_.liveness_recipients(replica_);
   if (recipients.empty()) return;
   model::LivenessRecord record;
@@ -45,7 +45,7 @@
   record.unreachable_machines = owner_.unreachable_machines();
   record.unreachable_zones = owner_.unreachable_zones();
   const auto key = wire::liveness_key(context_.settings.platform.label);
-  // An outcome is not needed: the next record replaces this one.
+  // The result is ignored because the next record replaces this one.
   const bool sent = committer_.commit({}, {{key, wire::encode_liveness(record), 0}},
                                       [](const store::TransactionResult&) {});
   if (!sent) return;
