--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -47,9 +47,9 @@
   const size_t leader = world.cluster().leader().value_or(0);
   const std::string& name = line.word(word);
   if (name == "leader") return leader;
-  if (name == "other") return (leader + 1) % world.controllers();
+  if (name == "other") return (leader + 1) % world.controller_count();
   const int number = line.integer_at(word);
-  if (number < 0 || static_cast<size_t>(number) >= world.controllers())
+  if (number < 0 || static_cast<size_t>(number) >= world.controller_count())
     fail(line, "no controller '" + name + "'");
   return static_cast<size_t>(number);
 }
@@ -57,7 +57,7 @@
 // One controller after the other, `every=` seconds apart.
 void for_each_controller(World& world, const Line& line,
                          const std::function<void(size_t controller)>& action) {
-  for (size_t i = 0; i < world.controllers(); ++i)
+  for (size_t i = 0; i < world.controller_count(); ++i)
     world.events().after(static_cast<double>(i) * line.get("every", 5), [action, i] { action(i); });
 }
 
@@ -82,14 +82,14 @@
 }
 
 void unexpected_requests(World& world, const Line& line) {
-  world.faults().send_odd_requests(duration(line));
+  world.faults().send_unexpected_requests(duration(line));
 }
 
 // ---- controllers ---------------------------------------------------------------------------
 
 // One, `all`, or `others`: all but the leader.
 void crash(World& world, const Line& line) {
-  const size_t size = world.controllers();
+  const size_t size = world.controller_count();
   if (line.word(1) == "all") {
     for (size_t i = 0; i < size; ++i) world.faults().crash(i, duration(line));
   } else if (line.word(1) == "others") {
@@ -148,7 +148,7 @@
 }
 
 void drop_responses(World& world, const Line& line) {
-  world.faults().lose_answers(chance(line), duration(line));
+  world.faults().lose_responses(chance(line), duration(line));
 }
 
 void delay_requests(World& world, const Line& line) {
@@ -176,14 +176,14 @@
 }
 
 void refuse_at_store(World& world, const Line& line) {
-  world.faults().refuse_at_store(controller_at(world, line, 1), duration(line));
+  world.faults().refuse_store_requests(controller_at(world, line, 1), duration(line));
 }
 
-void lower_store_limits(World& world, const Line&) { world.faults().lower_store_limits(); }
+void lower_store_limits(World& world, const Line&) { world.faults().apply_announced_store_limits(); }
 
 void cloud_outage(World& world, const Line& line) { world.faults().cloud_outage(duration(line)); }
 
-void never_boot(World& world, const Line& line) { world.faults().never_boot(count(line)); }
+void never_boot(World& world, const Line& line) { world.faults().prevent_boots(count(line)); }
 
 void set_capacity(World& world, const Line& line) {
   world.faults().set_capacity(line.get_integer("to", 0));
@@ -197,7 +197,7 @@
   world.faults().hang_machines(count(line), duration(line));
 }
 
-void break_machines(World& world, const Line& line) { world.faults().break_machines(count(line)); }
+void break_machines(World& world, const Line& line) { world.faults().make_machines_faulty(count(line)); }
 
 // ---- table ---------------------------------------------------------------------------------
 
--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -35,17 +35,17 @@
 // ---- jobs ----------------------------------------------------------------------------------
 
 [[noreturn]] void fail_not_over(const World& world, const Line& line, const UserJob& job) {
-  fail(line, job.id() + " is not over: accepted " + std::to_string(job.accepted()) + ", " +
+  fail(line, job.id() + " is not over: accepted " + std::to_string(job.is_accepted()) + ", " +
                  std::to_string(world.ledger().running_tasks(job.id())) + " running");
 }
 
 bool is_open(const UserJob& job) {
-  return !job.is_over() && job.submission != Submission::kRejected;
+  return !job.has_final_status() && job.submission != Submission::kRejected;
 }
 
 void jobs_finished(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs())
-    if (is_open(job) && job.submission != Submission::kGivenUp) fail_not_over(world, line, job);
+    if (is_open(job) && job.submission != Submission::kTimedOut) fail_not_over(world, line, job);
 }
 
 void batch_jobs_finished(const World& world, const Line& line) {
@@ -89,7 +89,7 @@
 // Each replica of every service that nobody asked to cancel runs.
 void services_fully_running(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs()) {
-    if (!job.workload.is_service() || !job.accepted() || job.cancel_requested) continue;
+    if (!job.workload.is_service() || !job.is_accepted() || job.cancel_requested) continue;
     const int got = world.ledger().running_tasks(id);
     if (got != job.workload.tasks) fail(line, id + ": " + std::to_string(got) + " running");
   }
@@ -107,11 +107,11 @@
 // ---- machines ------------------------------------------------------------------------------
 
 void machines_at_most(const World& world, const Line& line) {
-  expect_at_most(line, 1, static_cast<uint64_t>(world.fleet().alive()));
+  expect_at_most(line, 1, static_cast<uint64_t>(world.fleet().alive_count()));
 }
 
 void machines_at_least(const World& world, const Line& line) {
-  expect_at_least(line, 1, static_cast<uint64_t>(world.fleet().alive()));
+  expect_at_least(line, 1, static_cast<uint64_t>(world.fleet().alive_count()));
 }
 
 void agent_epoch_at_most(const World& world, const Line& line) {
@@ -147,7 +147,7 @@
 
 std::vector<nlohmann::json> partition_leases(const World& world) {
   std::vector<nlohmann::json> leases;
-  for (int partition = 0; partition < static_cast<int>(world.controllers()); ++partition)
+  for (int partition = 0; partition < static_cast<int>(world.controller_count()); ++partition)
     if (const auto* lease = world.store().value(rooksill::wire::lease_key(partition)))
       leases.push_back(*lease);
   return leases;
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -102,7 +102,7 @@
 
 void random_faults(Deployment& deployment, const Line& line) {
   World& world = deployment.world();
-  standins::schedule_random_faults(world.simulation(), world.controllers(), world.faults(),
+  standins::schedule_random_faults(world.simulation(), world.controller_count(), world.faults(),
                                    line.get("from", 10), line.get("to", 60),
                                    line.get_integer("count", 8));
 }
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr size_t kMaxPage = 500;           // entries, by the protocol
-constexpr double kSnapshotInterval = 0.2;  // s between two states of the list
+constexpr size_t kMaxPageEntries = 500;           // entries, by the protocol
+constexpr double kSnapshotIntervalSeconds = 0.2;  // s between two states of the list
 constexpr double kBurstSeconds = 2;        // the request budget holds so many seconds' requests
-constexpr double kNever = 1e18;
+constexpr double kNeverSeconds = 1e18;
 constexpr size_t kNameDigits = 6;
 
 // Empty if there is no such parameter.
@@ -22,14 +22,14 @@
   return target.substr(begin, target.find('&', begin) - begin);
 }
 
-const char* wire_status(const CloudMachine& machine) { return machine.up ? "running" : "booting"; }
+const char* wire_status(const CloudMachine& machine) { return machine.is_booted ? "running" : "booting"; }
 
 }  // namespace
 
 json Cloud::listing() const {
   json list = json::array();
   for (const auto& [name, machine] : machines) {
-    if (machine.gone) continue;
+    if (machine.is_terminated) continue;
     list.push_back({{"id", name},
                     {"address", machine.address},
                     {"build", machine.type},
@@ -43,13 +43,13 @@
 
 void Cloud::tick(double now) {
   for (auto& [name, machine] : machines) {
-    if (machine.gone || machine.up || now < machine.boots_at) continue;
-    machine.up = true;
-    booted.push_back(name);
+    if (machine.is_terminated || machine.is_booted || now < machine.boots_at) continue;
+    machine.is_booted = true;
+    newly_booted.push_back(name);
   }
   refill_budget(now);
   last_tick_ = now;
-  if (list_snapshots_.empty() || now - list_snapshots_.back().taken_at >= kSnapshotInterval)
+  if (list_snapshots_.empty() || now - list_snapshots_.back().taken_at >= kSnapshotIntervalSeconds)
     list_snapshots_.push_back({now, listing()});
   while (list_snapshots_.size() > 1 && list_snapshots_[1].taken_at <= now - list_lag_s_)
     list_snapshots_.pop_front();
@@ -63,12 +63,12 @@
 
 void Cloud::reclaim(const std::string& name) {
   auto it = machines.find(name);
-  if (it == machines.end() || it->second.gone) return;
-  it->second.gone = true;
-  ended.push_back(name);
+  if (it == machines.end() || it->second.is_terminated) return;
+  it->second.is_terminated = true;
+  newly_terminated.push_back(name);
 }
 
-HttpAnswer Cloud::handle(double now, const HttpRequest& request) {
+HttpResponse Cloud::handle(double now, const HttpRequest& request) {
   tick(now);
   if (outage) return {503, "{\"error\":\"trouble\"}"};
   if (request_budget_ < 1) return {429, "{}"};
@@ -80,7 +80,7 @@
   return request.target == "/hosts/release" ? release(body) : rent(now, body);
 }
 
-HttpAnswer Cloud::catalog() const {
+HttpResponse Cloud::catalog() const {
   json list = json::array();
   for (const auto& type : types)
     list.push_back({{"label", type.name},
@@ -96,10 +96,10 @@
   return {200, json{{"builds", list}}.dump()};
 }
 
-HttpAnswer Cloud::list_page(const std::string& target) const {
+HttpResponse Cloud::list_page(const std::string& target) const {
   const std::string after = query_parameter(target, "from");
   const std::string limit = query_parameter(target, "most");
-  const size_t size = limit.empty() ? kMaxPage : std::min(kMaxPage, size_t{std::stoul(limit)});
+  const size_t size = limit.empty() ? kMaxPageEntries : std::min(kMaxPageEntries, size_t{std::stoul(limit)});
   json list = json::array();
   bool truncated = false;
   for (const auto& machine : list_snapshots_.front().machines) {
@@ -111,15 +111,15 @@
   return {200, json{{"perches", list}, {"truncated", truncated}}.dump()};
 }
 
-HttpAnswer Cloud::release(const json& request) {
+HttpResponse Cloud::release(const json& request) {
   for (const auto& name : request["perches"]) reclaim(name.get<std::string>());
   return {200, "{}"};
 }
 
-HttpAnswer Cloud::rent(double now, const json& request) {
+HttpResponse Cloud::rent(double now, const json& request) {
   const auto request_id = request["hire"].get<std::string>();
-  const auto known = rent_answers_.find(request_id);
-  if (known != rent_answers_.end()) return {200, known->second};
+  const auto known = rent_responses_.find(request_id);
+  if (known != rent_responses_.end()) return {200, known->second};
   const auto zone = request["ward"].get<std::string>();
   const bool spot = request["loaners"].get<bool>();
   const TypeSpec* type = find_type(request["build"].get<std::string>(), zone);
@@ -129,8 +129,8 @@
   if (count <= 0) return {503, "{\"error\":\"no capacity\"}"};
   json names = json::array();
   for (int i = 0; i < count; ++i) names.push_back(add_machine(now, *type, zone, spot));
-  rent_answers_[request_id] = json{{"perches", names}}.dump();
-  return {200, rent_answers_[request_id]};
+  rent_responses_[request_id] = json{{"perches", names}}.dump();
+  return {200, rent_responses_[request_id]};
 }
 
 const TypeSpec* Cloud::find_type(const std::string& name, const std::string& zone) const {
@@ -144,7 +144,7 @@
 int Cloud::rented(const std::string& type, const std::string& zone, bool spot) const {
   int count = 0;
   for (const auto& [name, machine] : machines)
-    if (!machine.gone && machine.type == type && machine.zone == zone && machine.spot == spot)
+    if (!machine.is_terminated && machine.type == type && machine.zone == zone && machine.spot == spot)
       ++count;
   return count;
 }
@@ -161,8 +161,8 @@
   machine.rented_at = now;
   // Boot times differ a little from machine to machine.
   machine.boots_at =
-      never_boot > 0 ? kNever : now + type.boot_s * (0.6 + 0.1 * (next_machine_ % 9));
-  if (never_boot > 0) --never_boot;
+      boots_to_prevent > 0 ? kNeverSeconds : now + type.boot_s * (0.6 + 0.1 * (next_machine_ % 9));
+  if (boots_to_prevent > 0) --boots_to_prevent;
   machines[machine.name] = machine;
   return machine.name;
 }
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -23,7 +23,7 @@
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false;
-  bool up = false, gone = false;  // booted; ended
+  bool is_booted = false, is_terminated = false;  // booted; ended
   double rented_at = 0, boots_at = 0;
 };
 
@@ -33,7 +33,7 @@
   Cloud(double requests_per_s, double list_lag_s)
       : requests_per_s_(requests_per_s), list_lag_s_(list_lag_s) {}
 
-  HttpAnswer handle(double now, const HttpRequest& request);
+  HttpResponse handle(double now, const HttpRequest& request);
   // Boots machines that are due and takes a new state of the list.
   void tick(double now);
   // Ends a machine, as at its release or when a spot machine is taken back.
@@ -41,16 +41,16 @@
 
   std::vector<TypeSpec> types;
   std::map<std::string, CloudMachine> machines;
-  std::vector<std::string> booted, ended;  // names, until the reader empties the lists
+  std::vector<std::string> newly_booted, newly_terminated;  // names, until the reader empties the lists
   bool outage = false;
-  int never_boot = 0;  // so many of the next machines stay booting
+  int boots_to_prevent = 0;  // so many of the next machines stay booting
 
  private:
   void refill_budget(double now);
-  HttpAnswer catalog() const;
-  HttpAnswer list_page(const std::string& target) const;
-  HttpAnswer release(const nlohmann::json& request);
-  HttpAnswer rent(double now, const nlohmann::json& request);
+  HttpResponse catalog() const;
+  HttpResponse list_page(const std::string& target) const;
+  HttpResponse release(const nlohmann::json& request);
+  HttpResponse rent(double now, const nlohmann::json& request);
   const TypeSpec* find_type(const std::string& name, const std::string& zone) const;
   int rented(const std::string& type, const std::string& zone, bool spot) const;
   std::string add_machine(double now, const TypeSpec& type, const std::string& zone, bool spot);
@@ -64,7 +64,7 @@
   double requests_per_s_, list_lag_s_;
   double request_budget_ = -1;  // -1: not filled yet
   double last_tick_ = 0;
-  std::map<std::string, std::string> rent_answers_;  // by request ID: a repeat rents nothing
+  std::map<std::string, std::string> rent_responses_;  // by request ID: a repeat rents nothing
   std::deque<ListSnapshot> list_snapshots_;          // the first is the one that is shown
   int next_machine_ = 1;
 };
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr double kBatchDelay = 0.0005;     // s from an input to the batch that contains it
-constexpr double kConnectFailure = 0.001;  // s until a request to a controller that is down fails
+constexpr double kBatchDelaySeconds = 0.0005;     // s from an input to the batch that contains it
+constexpr double kConnectFailureSeconds = 0.001;  // s until a request to a controller that is down fails
 // Controllers' steady clocks have nothing in common, and their wall clocks differ a little.
-constexpr double kWallClockStart = 1.7e9, kSteadyClockOffset = 100, kWallClockOffset = 0.03;
+constexpr double kWallClockStartSeconds = 1.7e9, kSteadyClockOffsetSeconds = 100, kWallClockOffsetSeconds = 0.03;
 
 Time clocks_of(size_t controller, double now) {
   const auto position = static_cast<double>(controller);
-  return {now + kSteadyClockOffset * position, kWallClockStart + now + kWallClockOffset * position};
+  return {now + kSteadyClockOffsetSeconds * position, kWallClockStartSeconds + now + kWallClockOffsetSeconds * position};
 }
 
 }  // namespace
@@ -33,7 +33,7 @@
   handler_ = &handler;
   for (auto& entry : settings) {
     Process started;
-    started.label = entry.present.platform.label;
+    started.label = entry.current.platform.label;
     started.settings = std::move(entry);
     started.version = version;
     processes_.push_back(std::move(started));
@@ -42,28 +42,28 @@
 }
 
 void ControllerCluster::boot(size_t controller) {
-  Process& p = process(controller);
-  ++p.generation;
-  p.inbox.clear();
-  p.batch_scheduled = false;
-  p.running_settings =
-      p.version == ControllerVersion::kFirst ? p.settings.first : p.settings.present;
-  p.core = std::make_unique<Controller>(p.running_settings, simulation_.random.next(),
-                                        kWallClockStart + simulation_.now(), verbose_);
+  Process& proc = process(controller);
+  ++proc.generation;
+  proc.inbox.clear();
+  proc.batch_scheduled = false;
+  proc.running_settings =
+      proc.version == ControllerVersion::kFirst ? proc.settings.first : proc.settings.current;
+  proc.core = std::make_unique<Controller>(proc.running_settings, simulation_.random.next(),
+                                        kWallClockStartSeconds + simulation_.now(), verbose_);
   deliver(controller, Tick{});
 }
 
-void ControllerCluster::crash(size_t controller, double down_s) {
-  Process& p = process(controller);
-  ++p.generation;
-  p.core.reset();
-  p.inbox.clear();
-  p.batch_scheduled = false;
-  const auto unanswered = std::exchange(p.unanswered, {});
-  for (const auto& [id, on_answer] : unanswered) on_answer({});
+void ControllerCluster::crash(size_t controller, double downtime_s) {
+  Process& proc = process(controller);
+  ++proc.generation;
+  proc.core.reset();
+  proc.inbox.clear();
+  proc.batch_scheduled = false;
+  const auto pending_requests = std::exchange(proc.pending_requests, {});
+  for (const auto& [id, on_response] : pending_requests) on_response({});
   for (size_t i = 0; i < processes_.size(); ++i)
-    if (i != controller) deliver(i, PeerLost{p.label});
-  simulation_.events.after(down_s, [this, controller, generation = p.generation] {
+    if (i != controller) deliver(i, PeerLost{proc.label});
+  simulation_.events.after(downtime_s, [this, controller, generation = proc.generation] {
     if (process(controller).generation == generation) boot(controller);
   });
 }
@@ -77,27 +77,27 @@
 }
 
 void ControllerCluster::deliver(size_t controller, Command command) {
-  Process& p = process(controller);
-  if (!p.core) return;
-  p.inbox.push_back(std::move(command));
-  if (p.batch_scheduled) return;
-  p.batch_scheduled = true;
-  simulation_.events.after(kBatchDelay, [this, controller, generation = p.generation] {
+  Process& proc = process(controller);
+  if (!proc.core) return;
+  proc.inbox.push_back(std::move(command));
+  if (proc.batch_scheduled) return;
+  proc.batch_scheduled = true;
+  simulation_.events.after(kBatchDelaySeconds, [this, controller, generation = proc.generation] {
     run_batch(controller, generation);
   });
 }
 
 void ControllerCluster::run_batch(size_t controller, uint64_t generation) {
-  Process& p = process(controller);
-  if (!p.core || p.generation != generation) return;
-  if (p.frozen_until > simulation_.now()) {  // its input stays in its sockets meanwhile
-    simulation_.events.at(p.frozen_until,
+  Process& proc = process(controller);
+  if (!proc.core || proc.generation != generation) return;
+  if (proc.frozen_until > simulation_.now()) {  // its input stays in its sockets meanwhile
+    simulation_.events.at(proc.frozen_until,
                           [this, controller, generation] { run_batch(controller, generation); });
     return;
   }
-  p.batch_scheduled = false;
-  const std::vector<Command> batch = std::exchange(p.inbox, {});
-  p.core->run(batch, clocks_of(controller, simulation_.now()));
+  proc.batch_scheduled = false;
+  const std::vector<Command> batch = std::exchange(proc.inbox, {});
+  proc.core->run(batch, clocks_of(controller, simulation_.now()));
   handle_effects(controller);
   const bool ticked = std::any_of(batch.begin(), batch.end(), [](const Command& command) {
     return std::holds_alternative<Tick>(command);
@@ -112,13 +112,13 @@
 }
 
 void ControllerCluster::handle_effects(size_t controller) {
-  Process& p = process(controller);
-  const Effects effects = std::move(p.core->effects());
-  p.core->effects().clear();
-  effects_digest_.add(simulation_.now(), p.label, effects);
-  if (verbose_) print_log(p, effects);
+  Process& proc = process(controller);
+  const Effects effects = std::move(proc.core->effects());
+  proc.core->effects().clear();
+  effects_digest_.add(simulation_.now(), proc.label, effects);
+  if (verbose_) print_log(proc, effects);
   for (const Reply& reply : effects.replies) {
-    auto asked = p.unanswered.extract(reply.request);
+    auto asked = proc.pending_requests.extract(reply.request);
     if (!asked.empty()) asked.mapped()({reply.status, reply.body, reply.retry_after_s});
   }
   for (const auto& message : effects.peer) handler_->on_peer_message(controller, message);
@@ -132,30 +132,30 @@
 }
 
 void ControllerCluster::request(size_t controller, HttpRequest request, double timeout_s,
-                                const AnswerHandler& on_answer) {
+                                const ResponseHandler& on_response) {
   auto answered = std::make_shared<bool>(false);
-  const AnswerHandler answer_once = [answered, on_answer](const HttpAnswer& answer) {
+  const ResponseHandler respond_once = [answered, on_response](const HttpResponse& response) {
     if (std::exchange(*answered, true)) return;
-    on_answer(answer);
+    on_response(response);
   };
   if (!process(controller).core) {
-    simulation_.events.after(kConnectFailure, [answer_once] { answer_once({}); });
+    simulation_.events.after(kConnectFailureSeconds, [respond_once] { respond_once({}); });
     return;
   }
-  simulation_.events.after(timeout_s, [answer_once] { answer_once({}); });
+  simulation_.events.after(timeout_s, [respond_once] { respond_once({}); });
   simulation_.events.after(
       network_.latency(),
       [this, controller, generation = generation(controller), request = std::move(request),
-       answer_once] { hand_over_request(controller, generation, request, answer_once); });
+       respond_once] { deliver_request(controller, generation, request, respond_once); });
 }
 
-void ControllerCluster::hand_over_request(size_t controller, uint64_t generation,
-                                          HttpRequest request, const AnswerHandler& on_answer) {
-  Process& p = process(controller);
-  if (p.generation != generation || !p.core) return on_answer({});
-  const uint64_t id = p.next_request++;
-  p.unanswered[id] = [this, on_answer](const HttpAnswer& answer) {
-    simulation_.events.after(network_.latency(), [on_answer, answer] { on_answer(answer); });
+void ControllerCluster::deliver_request(size_t controller, uint64_t generation,
+                                          HttpRequest request, const ResponseHandler& on_response) {
+  Process& proc = process(controller);
+  if (proc.generation != generation || !proc.core) return on_response({});
+  const uint64_t id = proc.next_request++;
+  proc.pending_requests[id] = [this, on_response](const HttpResponse& response) {
+    simulation_.events.after(network_.latency(), [on_response, response] { on_response(response); });
   };
   deliver(controller, Request{id, std::move(request.method), std::move(request.target),
                               std::move(request.body)});
@@ -163,7 +163,7 @@
 
 std::vector<std::string> ControllerCluster::labels() const {
   std::vector<std::string> labels;
-  for (const auto& p : processes_) labels.push_back(p.label);
+  for (const auto& proc : processes_) labels.push_back(proc.label);
   return labels;
 }
 
@@ -173,7 +173,7 @@
   return std::nullopt;
 }
 
-std::optional<size_t> ControllerCluster::random_ready() {
+std::optional<size_t> ControllerCluster::random_ready_controller() {
   std::vector<size_t> ready;
   for (size_t i = 0; i < processes_.size(); ++i)
     if (process(i).core && process(i).core->ready()) ready.push_back(i);
--- a/tests/standins/controller_cluster.h
+++ b/tests/standins/controller_cluster.h
@@ -22,12 +22,12 @@
 
 enum class ControllerVersion {
   kFirst,    // knows neither upgrade records nor gangs; see first_version.h
-  kPresent,  // the code under test
+  kCurrent,  // the code under test
 };
 
 // The settings a controller starts with, by its version.
 struct ControllerSettings {
-  rooksill::Settings first, present;
+  rooksill::Settings first, current;
 };
 
 // Takes what the controllers send.
@@ -40,7 +40,7 @@
 
 class ControllerCluster {
  public:
-  using AnswerHandler = std::function<void(const HttpAnswer&)>;
+  using ResponseHandler = std::function<void(const HttpResponse&)>;
 
   ControllerCluster(Simulation& simulation, Network& network, bool verbose)
       : simulation_(simulation), network_(network), verbose_(verbose) {}
@@ -50,7 +50,7 @@
              EffectsHandler& handler);
 
   // Ends the process at once; it restarts after `down_s` with the version then set.
-  void crash(size_t controller, double down_s);
+  void crash(size_t controller, double downtime_s);
   // The process stops executing until then, while its clocks run on and its sockets fill.
   void freeze_until(size_t controller, double time);
   // Takes effect at the next start.
@@ -61,7 +61,7 @@
   // Sends it a request. `on_answer` is called once: with the answer, or with status 0 after
   // `timeout_s` or when the process ends.
   void request(size_t controller, HttpRequest request, double timeout_s,
-               const AnswerHandler& on_answer);
+               const ResponseHandler& on_response);
 
   size_t size() const { return processes_.size(); }
   std::vector<std::string> labels() const;
@@ -72,9 +72,9 @@
   // The first that believes to lead.
   std::optional<size_t> leader() const;
   // One that passes its health check. One draw, none if there is no such controller.
-  std::optional<size_t> random_ready();
+  std::optional<size_t> random_ready_controller();
   // Any, also one that is down. One draw.
-  size_t random_any() { return simulation_.random.index(processes_.size()); }
+  size_t random_controller() { return simulation_.random.index(processes_.size()); }
   uint64_t effects_digest() const { return effects_digest_.value(); }
 
  private:
@@ -83,12 +83,12 @@
     ControllerSettings settings;
     rooksill::Settings running_settings;                     // the core holds a reference to it
     std::unique_ptr<rooksill::controller::Controller> core;  // null while it is down
-    ControllerVersion version = ControllerVersion::kPresent;
+    ControllerVersion version = ControllerVersion::kCurrent;
     uint64_t generation = 0;
     std::vector<rooksill::runtime::Command> inbox;
     bool batch_scheduled = false;
     double frozen_until = 0;
-    std::map<uint64_t, AnswerHandler> unanswered;  // by request ID
+    std::map<uint64_t, ResponseHandler> pending_requests;  // by request ID
     uint64_t next_request = 1;
   };
 
@@ -99,8 +99,8 @@
   void schedule_tick(size_t controller, uint64_t generation);
   void handle_effects(size_t controller);
   void print_log(const Process& from, const rooksill::runtime::Effects& effects) const;
-  void hand_over_request(size_t controller, uint64_t generation, HttpRequest request,
-                         const AnswerHandler& on_answer);
+  void deliver_request(size_t controller, uint64_t generation, HttpRequest request,
+                         const ResponseHandler& on_response);
 
   Simulation& simulation_;
   Network& network_;
--- a/tests/standins/deployment_settings.cc
+++ b/tests/standins/deployment_settings.cc
@@ -9,12 +9,12 @@
 std::string label_of(size_t controller) { return "c" + std::to_string(controller); }
 
 void set_store_limits(PlatformSettings& platform, const StoreLimits& present,
-                      const StoreLimits& coming) {
+                      const StoreLimits& announced) {
   platform.state_write_rps = present.writes_per_s;
-  platform.state_next_write_rps = coming.writes_per_s;
-  platform.state_txn_ops = coming.transaction_writes;
+  platform.state_next_write_rps = announced.writes_per_s;
+  platform.state_txn_ops = announced.transaction_writes;
   platform.state_present_value_bytes = present.value_bytes;
-  platform.state_value_bytes = coming.value_bytes;
+  platform.state_value_bytes = announced.value_bytes;
 }
 
 PlatformSettings make_platform(size_t controller, const WorldOptions& options,
@@ -45,14 +45,14 @@
                                               const std::vector<std::string>& zones,
                                               const TeamQuotas& teams) {
   const StoreLimits& present = options.store_limits;
-  const StoreLimits coming = options.announced_store_limits.value_or(present);
+  const StoreLimits announced = options.announced_store_limits.value_or(present);
   std::vector<ControllerSettings> all;
   for (size_t i = 0; i < options.controllers; ++i) {
     ControllerSettings settings;
     settings.first.platform = make_platform(i, options, zones, teams);
-    settings.present = settings.first;
+    settings.current = settings.first;
     set_store_limits(settings.first.platform, present, present);
-    set_store_limits(settings.present.platform, present, coming);
+    set_store_limits(settings.current.platform, present, announced);
     all.push_back(std::move(settings));
   }
   return all;
--- a/tests/standins/end_of_day_checks.cc
+++ b/tests/standins/end_of_day_checks.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr double kMaxSilence = 75;          // s without an answer about a job
-constexpr double kMaxStartOfLargest = 240;  // s
-constexpr double kTooLateToCount = 45;      // s before the end
+constexpr double kMaxResponseGapSeconds = 75;          // s without an answer about a job
+constexpr double kMaxStartOfLargestSeconds = 240;  // s
+constexpr double kMinObservationSeconds = 45;      // s before the end
 constexpr double kLargestShare = 0.1;       // of a class
 
 }  // namespace
@@ -18,9 +18,9 @@
 void EndOfDayChecks::run(double faults_end) {
   std::map<std::string, JobList> by_class, by_team;
   for (const auto& [id, job] : jobs_) {
-    if (!job.accepted() || job.cancel_requested) continue;
-    check_answered(job, faults_end);
-    if (simulation_.now() - std::max(job.submitted_at, faults_end) < kTooLateToCount) continue;
+    if (!job.is_accepted() || job.cancel_requested) continue;
+    check_recent_response(job, faults_end);
+    if (simulation_.now() - std::max(job.submitted_at, faults_end) < kMinObservationSeconds) continue;
     by_class[job.job_class].push_back(&job);
     by_team[job.team].push_back(&job);
   }
@@ -28,10 +28,10 @@
   for (const auto& [name, jobs] : by_class) check_class(name, jobs);
 }
 
-void EndOfDayChecks::check_answered(const UserJob& job, double faults_end) {
-  const double since = std::max({job.last_answered_at, job.submitted_at, faults_end});
-  if (simulation_.now() - since > kMaxSilence)
-    simulation_.violation("forgotten: nothing is answered about " + job.id());
+void EndOfDayChecks::check_recent_response(const UserJob& job, double faults_end) {
+  const double since = std::max({job.last_response_at, job.submitted_at, faults_end});
+  if (simulation_.now() - since > kMaxResponseGapSeconds)
+    simulation_.add_violation("forgotten: nothing is answered about " + job.id());
 }
 
 void EndOfDayChecks::check_served(const std::string& group, const JobList& jobs) {
@@ -40,7 +40,7 @@
         return ledger_.started_at(job->id()) >= 0;
       }));
   if (served * 2 < jobs.size())
-    simulation_.violation("unserved: " + std::to_string(served) + " of " +
+    simulation_.add_violation("unserved: " + std::to_string(served) + " of " +
                           std::to_string(jobs.size()) + " of " + group);
 }
 
@@ -59,8 +59,8 @@
 void EndOfDayChecks::check_started_in_time(const UserJob& job, const std::string& job_class) {
   const double started_at = ledger_.started_at(job.id());
   const double started_or_now = started_at >= 0 ? started_at : simulation_.now();
-  if (started_or_now - job.submitted_at > kMaxStartOfLargest)
-    simulation_.violation("late: " + job.id() + ", one of the largest of class " + job_class);
+  if (started_or_now - job.submitted_at > kMaxStartOfLargestSeconds)
+    simulation_.add_violation("late: " + job.id() + ", one of the largest of class " + job_class);
 }
 
 }  // namespace standins
--- a/tests/standins/end_of_day_checks.h
+++ b/tests/standins/end_of_day_checks.h
@@ -26,7 +26,7 @@
  private:
   using JobList = std::vector<const UserJob*>;
 
-  void check_answered(const UserJob& job, double faults_end);
+  void check_recent_response(const UserJob& job, double faults_end);
   void check_served(const std::string& group, const JobList& jobs);
   void check_class(const std::string& name, const JobList& jobs);
   void check_started_in_time(const UserJob& job, const std::string& job_class);
--- a/tests/standins/first_version.cc
+++ b/tests/standins/first_version.cc
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-bool ignored_by_first_version(const std::string& key) {
+bool is_ignored_by_first_version(const std::string& key) {
   return key.rfind("rk/v/", 0) == 0 || key == "rk/upgrade";
 }
 
--- a/tests/standins/first_version.h
+++ b/tests/standins/first_version.h
@@ -12,6 +12,6 @@
 // The same of a message between controllers.
 std::string unknown_to_first_version(const std::string& message);
 // Whether that version ignores the key: records of versions and of the upgrade.
-bool ignored_by_first_version(const std::string& key);
+bool is_ignored_by_first_version(const std::string& key);
 
 }  // namespace standins
--- a/tests/standins/first_version_store.cc
+++ b/tests/standins/first_version_store.cc
@@ -15,7 +15,7 @@
   if (request.target != "/txn") return false;
   const json transaction = json::parse(request.body);
   for (const auto& write : transaction["writes"])
-    if (write.contains("put") && ignored_by_first_version(write["put"].get<std::string>()))
+    if (write.contains("put") && is_ignored_by_first_version(write["put"].get<std::string>()))
       return true;
   return false;
 }
@@ -24,29 +24,29 @@
   return request.target.rfind("/store/rk/v/", 0) == 0 || request.target == "/store/rk/upgrade";
 }
 
-HttpAnswer without_unknown_records(const HttpAnswer& answer) {
-  json body = json::parse(answer.body, nullptr, false);
+HttpResponse without_unknown_records(const HttpResponse& response) {
+  json body = json::parse(response.body, nullptr, false);
   for (const char* list : {"items", "news"}) {
     if (!body.is_object() || !body.contains(list)) continue;
     json kept = json::array();
     for (const auto& entry : body[list]) {
       const std::string key = entry.value("k", entry.value("put", ""));
-      if (!ignored_by_first_version(key)) kept.push_back(entry);
+      if (!is_ignored_by_first_version(key)) kept.push_back(entry);
     }
     body[list] = std::move(kept);
   }
-  return {answer.status, body.dump()};
+  return {response.status, body.dump()};
 }
 
 }  // namespace
 
 void FirstVersionStore::handle(double now, const HttpRequest& request,
-                               const KeyValueStore::AnswerHandler& on_answer) {
+                               const KeyValueStore::ResponseHandler& on_response) {
   if (writes_unknown_record(request))
-    return on_answer({409, json{{"failed", json::array()}, {"epoch", 1}}.dump()});
-  if (reads_unknown_record(request)) return on_answer({404, "{}"});
-  store_.handle(now, request, [on_answer](const HttpAnswer& answer) {
-    on_answer(without_unknown_records(answer));
+    return on_response({409, json{{"failed", json::array()}, {"epoch", 1}}.dump()});
+  if (reads_unknown_record(request)) return on_response({404, "{}"});
+  store_.handle(now, request, [on_response](const HttpResponse& response) {
+    on_response(without_unknown_records(response));
   });
 }
 
--- a/tests/standins/first_version_store.h
+++ b/tests/standins/first_version_store.h
@@ -13,7 +13,7 @@
   explicit FirstVersionStore(KeyValueStore& store) : store_(store) {}
 
   void handle(double now, const HttpRequest& request,
-              const KeyValueStore::AnswerHandler& on_answer);
+              const KeyValueStore::ResponseHandler& on_response);
 
  private:
   KeyValueStore& store_;
--- a/tests/standins/http_message.h
+++ b/tests/standins/http_message.h
@@ -9,7 +9,7 @@
   std::string method, target, body;
 };
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;  // 0: none came
   std::string body;
   double retry_after_s = 0;  // 0: no such header
--- a/tests/standins/key_value_store.cc
+++ b/tests/standins/key_value_store.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr size_t kDefaultPage = 1000;
+constexpr size_t kDefaultPageEntries = 1000;
 constexpr size_t kMaxTransactionBytes = size_t{64} * 1024;
 constexpr size_t kGuardsPerWrite = 4;  // a transaction may have so many guards for each write
-constexpr size_t kMaxKey = 200;        // bytes
+constexpr size_t kMaxKeyBytes = 200;        // bytes
 constexpr char kUpgradeRecord[] = "rk/upgrade";
 constexpr char kStorePath[] = "/store/";
 constexpr char kLeasePath[] = "/grants/";
@@ -59,23 +59,23 @@
 void KeyValueStore::tick(double now) {
   if (outage_) return;
   expire_leases(now);
-  answer_watches(now);
+  respond_to_watches(now);
 }
 
 // ---- requests ------------------------------------------------------------------------------
 
-void KeyValueStore::handle(double now, const HttpRequest& request, const AnswerHandler& on_answer) {
+void KeyValueStore::handle(double now, const HttpRequest& request, const ResponseHandler& on_response) {
   tick(now);
   ++requests_;
-  if (outage_) return on_answer({503, "{}"});
+  if (outage_) return on_response({503, "{}"});
   refill_budgets(now);
   if (request_budget_ < 1) {
     ++refused_requests_;
-    return on_answer({429, "{}"});
+    return on_response({429, "{}"});
   }
   request_budget_ -= 1;
-  execute(now, request, on_answer);
-  answer_watches(now);
+  execute(now, request, on_response);
+  respond_to_watches(now);
 }
 
 void KeyValueStore::refill_budgets(double now) {
@@ -91,40 +91,40 @@
 }
 
 void KeyValueStore::execute(double now, const HttpRequest& request,
-                            const AnswerHandler& on_answer) {
+                            const ResponseHandler& on_response) {
   const bool is_get = request.method == "GET", is_post = request.method == "POST";
   const std::string& target = request.target;
-  if (is_post && target == "/txn") return on_answer(transact(request.body));
-  if (is_get && starts_with(target, "/watch")) return watch(now, target, on_answer);
+  if (is_post && target == "/txn") return on_response(transact(request.body));
+  if (is_get && starts_with(target, "/watch")) return watch(now, target, on_response);
   if (is_get && starts_with(target, kStorePath))
-    return on_answer(get(after_prefix(target, kStorePath)));
-  if (is_get && starts_with(target, "/store?")) return on_answer(list(target));
-  if (is_post && target == "/grants") return on_answer(grant_lease(now, request.body));
-  if (starts_with(target, kLeasePath)) return on_answer(renew_or_revoke_lease(now, request));
-  on_answer({400, "{}"});
+    return on_response(get(after_prefix(target, kStorePath)));
+  if (is_get && starts_with(target, "/store?")) return on_response(list(target));
+  if (is_post && target == "/grants") return on_response(grant_lease(now, request.body));
+  if (starts_with(target, kLeasePath)) return on_response(renew_or_revoke_lease(now, request));
+  on_response({400, "{}"});
 }
 
-HttpAnswer KeyValueStore::get(const std::string& key) const {
+HttpResponse KeyValueStore::get(const std::string& key) const {
   auto it = items_.find(key);
   if (it == items_.end()) return {404, json{{"epoch", revision_}}.dump()};
   return {200, json{{"k", key}, {"v", it->second.value}, {"stamp", it->second.revision}}.dump()};
 }
 
-HttpAnswer KeyValueStore::list(const std::string& target) const {
+HttpResponse KeyValueStore::list(const std::string& target) const {
   Query query = parse_query(target);
-  const size_t most = query.count("most") != 0 ? std::stoul(query["most"]) : kDefaultPage;
+  const size_t limit = query.count("most") != 0 ? std::stoul(query["most"]) : kDefaultPageEntries;
   json items = json::array();
   bool truncated = false;
   for (auto it = items_.upper_bound(query["from"]); it != items_.end(); ++it) {
     if (!starts_with(it->first, query["starts"])) continue;
-    truncated = items.size() >= most;
+    truncated = items.size() >= limit;
     if (truncated) break;
     items.push_back({{"k", it->first}, {"v", it->second.value}, {"stamp", it->second.revision}});
   }
   return {200, json{{"items", items}, {"truncated", truncated}, {"epoch", revision_}}.dump()};
 }
 
-HttpAnswer KeyValueStore::grant_lease(double now, const std::string& body) {
+HttpResponse KeyValueStore::grant_lease(double now, const std::string& body) {
   const json request = json::parse(body);
   const uint64_t id = next_lease_++;
   const double ttl_s = request["ttl_ms"].get<double>() / 1000;
@@ -132,7 +132,7 @@
   return {200, json{{"hold", id}}.dump()};
 }
 
-HttpAnswer KeyValueStore::renew_or_revoke_lease(double now, const HttpRequest& request) {
+HttpResponse KeyValueStore::renew_or_revoke_lease(double now, const HttpRequest& request) {
   auto it = leases_.find(std::stoull(after_prefix(request.target, kLeasePath)));
   if (it == leases_.end()) return {404, "{}"};
   Lease& lease = it->second;
@@ -147,7 +147,7 @@
 
 // ---- transactions --------------------------------------------------------------------------
 
-HttpAnswer KeyValueStore::transact(const std::string& body) {
+HttpResponse KeyValueStore::transact(const std::string& body) {
   json transaction = json::parse(body, nullptr, false);
   if (!transaction.is_object()) return {400, "{}"};
   const json& writes = transaction["writes"];
@@ -202,11 +202,11 @@
 void KeyValueStore::check_put(const std::string& key, const json& value) {
   if (value.dump().size() > limits_.value_bytes) violations_.push_back("value too large: " + key);
   // Before all controllers have the present version, one of the first version may read it.
-  if (!has_upgrade_record() && !ignored_by_first_version(key)) {
+  if (!has_upgrade_record() && !is_ignored_by_first_version(key)) {
     const std::string unknown = unknown_to_first_version(key, value);
     if (!unknown.empty()) violations_.push_back("unknown to the first version: " + unknown);
   }
-  if (key.size() > kMaxKey || key.find(' ') != std::string::npos)
+  if (key.size() > kMaxKeyBytes || key.find(' ') != std::string::npos)
     violations_.push_back("bad key " + key);
 }
 
@@ -231,33 +231,33 @@
   }
 }
 
-void KeyValueStore::watch(double now, const std::string& target, const AnswerHandler& on_answer) {
+void KeyValueStore::watch(double now, const std::string& target, const ResponseHandler& on_response) {
   Query query = parse_query(target);
   const std::string prefix = query["starts"];
   const uint64_t after_revision = std::stoull(query["from"]);
-  if (has_news(prefix, after_revision)) return on_answer(news(prefix, after_revision));
+  if (has_changes(prefix, after_revision)) return on_response(changes(prefix, after_revision));
   const double expires_at = now + std::stod(query["hold_ms"]) / 1000;
-  watches_.push_back({prefix, after_revision, expires_at, on_answer});
+  watches_.push_back({prefix, after_revision, expires_at, on_response});
 }
 
-void KeyValueStore::answer_watches(double now) {
+void KeyValueStore::respond_to_watches(double now) {
   if (outage_) return;
   std::vector<Watch> waiting, due;
   for (auto& watch : watches_) {
-    const bool is_due = now >= watch.expires_at || has_news(watch.prefix, watch.after_revision);
+    const bool is_due = now >= watch.expires_at || has_changes(watch.prefix, watch.after_revision);
     (is_due ? due : waiting).push_back(std::move(watch));
   }
   watches_ = std::move(waiting);
-  for (const auto& watch : due) watch.on_answer(news(watch.prefix, watch.after_revision));
+  for (const auto& watch : due) watch.on_response(changes(watch.prefix, watch.after_revision));
 }
 
-bool KeyValueStore::has_news(const std::string& prefix, uint64_t after_revision) const {
+bool KeyValueStore::has_changes(const std::string& prefix, uint64_t after_revision) const {
   return std::any_of(events_.rbegin(), events_.rend(), [&](const Event& event) {
     return event.revision > after_revision && starts_with(event.key, prefix);
   });
 }
 
-HttpAnswer KeyValueStore::news(const std::string& prefix, uint64_t after_revision) const {
+HttpResponse KeyValueStore::changes(const std::string& prefix, uint64_t after_revision) const {
   json list = json::array();
   for (const auto& event : events_) {
     if (event.revision <= after_revision || !starts_with(event.key, prefix)) continue;
--- a/tests/standins/key_value_store.h
+++ b/tests/standins/key_value_store.h
@@ -19,12 +19,12 @@
 class KeyValueStore {
  public:
   // Called at once, except for watches, which are answered when there is news or they time out.
-  using AnswerHandler = std::function<void(const HttpAnswer&)>;
+  using ResponseHandler = std::function<void(const HttpResponse&)>;
 
   KeyValueStore(double requests_per_s, const StoreLimits& limits)
       : requests_per_s_(requests_per_s), limits_(limits) {}
 
-  void handle(double now, const HttpRequest& request, const AnswerHandler& on_answer);
+  void handle(double now, const HttpRequest& request, const ResponseHandler& on_response);
   // Expires leases and answers watches.
   void tick(double now);
 
@@ -63,18 +63,18 @@
     std::string prefix;
     uint64_t after_revision = 0;
     double expires_at = 0;
-    AnswerHandler on_answer;
+    ResponseHandler on_response;
   };
 
   void refill_budgets(double now);
-  void execute(double now, const HttpRequest& request, const AnswerHandler& on_answer);
-  HttpAnswer get(const std::string& key) const;
-  HttpAnswer list(const std::string& target) const;
-  HttpAnswer grant_lease(double now, const std::string& body);
-  HttpAnswer renew_or_revoke_lease(double now, const HttpRequest& request);
-  void watch(double now, const std::string& target, const AnswerHandler& on_answer);
+  void execute(double now, const HttpRequest& request, const ResponseHandler& on_response);
+  HttpResponse get(const std::string& key) const;
+  HttpResponse list(const std::string& target) const;
+  HttpResponse grant_lease(double now, const std::string& body);
+  HttpResponse renew_or_revoke_lease(double now, const HttpRequest& request);
+  void watch(double now, const std::string& target, const ResponseHandler& on_response);
 
-  HttpAnswer transact(const std::string& body);
+  HttpResponse transact(const std::string& body);
   void check_transaction_limits(const std::string& body, const nlohmann::json& writes,
                                 const nlohmann::json& guards);
   nlohmann::json failed_guards(const nlohmann::json& guards) const;
@@ -83,9 +83,9 @@
   void erase(const std::string& key);
 
   void expire_leases(double now);
-  void answer_watches(double now);
-  bool has_news(const std::string& prefix, uint64_t after_revision) const;
-  HttpAnswer news(const std::string& prefix, uint64_t after_revision) const;
+  void respond_to_watches(double now);
+  bool has_changes(const std::string& prefix, uint64_t after_revision) const;
+  HttpResponse changes(const std::string& prefix, uint64_t after_revision) const;
 
   double requests_per_s_;
   StoreLimits limits_;
--- a/tests/standins/machine_fleet.h
+++ b/tests/standins/machine_fleet.h
@@ -17,7 +17,7 @@
 
 class MachineFleet {
  public:
-  using AnswerHandler = std::function<void(const HttpAnswer&)>;
+  using ResponseHandler = std::function<void(const HttpResponse&)>;
 
   MachineFleet(Simulation& simulation, Network& network, Cloud& cloud, ControllerCluster& cluster,
                WorkerEnvironment& environment, const WorkerTimes& times)
@@ -35,15 +35,15 @@
   // A controller's call arrives at the machine. A machine that hangs executes it when it goes on,
   // long after the sender gave up; one that is gone never answers.
   void handle_call(const std::string& machine, const rooksill::runtime::Call& call,
-                   const AnswerHandler& on_answer);
+                   const ResponseHandler& on_response);
 
   // The machine hangs for so long: it executes and sends nothing, while its lease runs out.
-  void hang(Worker& worker, double for_s);
+  void hang(Worker& worker, double duration_s);
 
   // All that ever booted, by name; some are dead.
   const std::map<std::string, std::unique_ptr<Worker>>& workers() const { return workers_; }
   Worker* find(const std::string& machine);
-  int alive() const;
+  int alive_count() const;
   // The highest of a machine that is alive. Each epoch but the first began when a lease expired.
   uint64_t max_agent_epoch() const;
 
@@ -52,7 +52,7 @@
   void send_heartbeat(Worker& worker);
   void send_duplicate(const std::string& body);
   void send_to(size_t controller, const std::string& body,
-               const ControllerCluster::AnswerHandler& on_answer);
+               const ControllerCluster::ResponseHandler& on_response);
   void handle_after_hang(const std::string& machine, const rooksill::runtime::Call& call);
 
   Simulation& simulation_;
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -19,7 +19,7 @@
 // Labels are "c0", "c1" and so on.
 size_t index_of(const std::string& label) { return std::stoul(label.substr(1)); }
 
-bool readable_by_first_version(const std::string& bytes) {
+bool is_readable_by_first_version(const std::string& bytes) {
   const auto envelope = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
   return envelope && envelope->version == rooksill::model::kFirstVersion;
 }
@@ -33,62 +33,62 @@
   const auto arrives_at = network_.route_to_peer(from, to);
   if (!arrives_at) return;
   simulation_.events.at(*arrives_at, [this, to, bytes = message.bytes] {
-    if (cluster_.version(to) == ControllerVersion::kFirst && !readable_by_first_version(bytes))
+    if (cluster_.version(to) == ControllerVersion::kFirst && !is_readable_by_first_version(bytes))
       return;
     cluster_.deliver(to, PeerMessage{bytes});
   });
 }
 
 void MessageRouter::check_known_to_first_version(size_t from, const std::string& message) {
-  if (store_.has_upgrade_record() && cluster_.version(from) == ControllerVersion::kPresent) return;
+  if (store_.has_upgrade_record() && cluster_.version(from) == ControllerVersion::kCurrent) return;
   const std::string unknown = unknown_to_first_version(message);
   if (!unknown.empty())
-    simulation_.violation("unknown to the first version, from " + cluster_.label(from) + ": " +
+    simulation_.add_violation("unknown to the first version, from " + cluster_.label(from) + ": " +
                           unknown);
 }
 
 void MessageRouter::on_call(size_t from, const Call& call) {
-  const AnswerHandler on_answer = answer_once(from, call.id);
-  simulation_.events.after(call.timeout_s, [on_answer] { on_answer({}); });
+  const ResponseHandler on_response = respond_once(from, call.id);
+  simulation_.events.after(call.timeout_s, [on_response] { on_response({}); });
   const auto delivery = network_.route_call(from, call);
   if (!delivery) return;
   simulation_.events.at(
-      delivery->at, [this, from, call, on_answer, answer_lost = delivery->answer_lost] {
-        execute(from, call, [this, on_answer, answer_lost](const HttpAnswer& answer) {
-          if (answer_lost) return;
-          simulation_.events.after(network_.latency(), [on_answer, answer] { on_answer(answer); });
+      delivery->at, [this, from, call, on_response, is_response_lost = delivery->is_response_lost] {
+        execute(from, call, [this, on_response, is_response_lost](const HttpResponse& response) {
+          if (is_response_lost) return;
+          simulation_.events.after(network_.latency(), [on_response, response] { on_response(response); });
         });
       });
 }
 
 // Only the first answer counts, and only for the process that made the call.
-MessageRouter::AnswerHandler MessageRouter::answer_once(size_t from, uint64_t call_id) {
+MessageRouter::ResponseHandler MessageRouter::respond_once(size_t from, uint64_t call_id) {
   return [this, from, call_id, generation = cluster_.generation(from),
-          answered = std::make_shared<bool>(false)](const HttpAnswer& answer) {
+          answered = std::make_shared<bool>(false)](const HttpResponse& response) {
     if (std::exchange(*answered, true)) return;
     if (cluster_.generation(from) != generation) return;
-    cluster_.deliver(from, CallDone{call_id, answer.status, answer.body, false});
+    cluster_.deliver(from, CallDone{call_id, response.status, response.body, false});
   };
 }
 
-void MessageRouter::execute(size_t from, const Call& call, const AnswerHandler& on_answer) {
+void MessageRouter::execute(size_t from, const Call& call, const ResponseHandler& on_response) {
   switch (call.target) {
     case Target::kState:
-      return execute_at_store(from, call, on_answer);
+      return execute_at_store(from, call, on_response);
     case Target::kCloud:
-      return on_answer(cloud_.handle(simulation_.now(), {call.method, call.path, call.body}));
+      return on_response(cloud_.handle(simulation_.now(), {call.method, call.path, call.body}));
     case Target::kWorker:
-      return fleet_.handle_call(call.address.substr(0, call.address.find(':')), call, on_answer);
+      return fleet_.handle_call(call.address.substr(0, call.address.find(':')), call, on_response);
   }
 }
 
 void MessageRouter::execute_at_store(size_t from, const Call& call,
-                                     const AnswerHandler& on_answer) {
-  if (refused_by_store_.count(from) != 0) return on_answer({503, "{}"});
+                                     const ResponseHandler& on_response) {
+  if (refused_by_store_.count(from) != 0) return on_response({503, "{}"});
   const HttpRequest request{call.method, call.path, call.body};
   if (cluster_.version(from) == ControllerVersion::kFirst)
-    return first_version_store_.handle(simulation_.now(), request, on_answer);
-  store_.handle(simulation_.now(), request, on_answer);
+    return first_version_store_.handle(simulation_.now(), request, on_response);
+  store_.handle(simulation_.now(), request, on_response);
 }
 
 void MessageRouter::set_refused_by_store(size_t controller, bool refused) {
--- a/tests/standins/message_router.h
+++ b/tests/standins/message_router.h
@@ -37,14 +37,14 @@
   uint64_t peer_bytes() const { return peer_bytes_; }  // between controllers, so far
 
  private:
-  using AnswerHandler = std::function<void(const HttpAnswer&)>;
+  using ResponseHandler = std::function<void(const HttpResponse&)>;
 
   // Until every controller has the present version, none may send what the first does not know.
   void check_known_to_first_version(size_t from, const std::string& message);
-  AnswerHandler answer_once(size_t from, uint64_t call_id);
-  void execute(size_t from, const rooksill::runtime::Call& call, const AnswerHandler& on_answer);
+  ResponseHandler respond_once(size_t from, uint64_t call_id);
+  void execute(size_t from, const rooksill::runtime::Call& call, const ResponseHandler& on_response);
   void execute_at_store(size_t from, const rooksill::runtime::Call& call,
-                        const AnswerHandler& on_answer);
+                        const ResponseHandler& on_response);
 
   Simulation& simulation_;
   Network& network_;
--- a/tests/standins/network.cc
+++ b/tests/standins/network.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kMinLatency = 0.0005, kMaxLatency = 0.004;  // s
+constexpr double kMinLatencySeconds = 0.0005, kMaxLatencySeconds = 0.004;  // s
 
 Link link_to(Target target) {
   switch (target) {
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-double Network::latency() { return simulation_.random.between(kMinLatency, kMaxLatency); }
+double Network::latency() { return simulation_.random.uniform(kMinLatencySeconds, kMaxLatencySeconds); }
 
 void Network::add_machine(const std::string& name, const std::string& zone) {
   machines_[name].zone = zone;
@@ -46,12 +46,12 @@
   if (cuts == controller_cuts_.end()) return nullptr;
   for (const Link candidate : {link, Link::kAll}) {
     auto it = cuts->second.find(candidate);
-    if (it != cuts->second.end() && it->second.active(simulation_.now())) return &it->second;
+    if (it != cuts->second.end() && it->second.is_active(simulation_.now())) return &it->second;
   }
   return nullptr;
 }
 
-bool Network::same_side(const MachineLink& machine, size_t controller) const {
+bool Network::is_in_same_partition(const MachineLink& machine, size_t controller) const {
   return zone_partition_.until > simulation_.now() && zone_partition_.controller == controller &&
          zone_partition_.zone == machine.zone;
 }
@@ -72,19 +72,19 @@
 
 std::optional<Delivery> Network::route_call(size_t from, const Call& call) {
   const double at = simulation_.now() + latency();
-  const auto after_cuts = pass_cuts(from, call, at);
+  const auto after_cuts = arrival_after_cuts(from, call, at);
   if (!after_cuts) return std::nullopt;
   Delivery delivery{*after_cuts};
   apply_message_faults(call, delivery);
   return delivery;
 }
 
-std::optional<double> Network::pass_cuts(size_t from, const Call& call, double at) {
+std::optional<double> Network::arrival_after_cuts(size_t from, const Call& call, double at) {
   if (call.target == Target::kWorker) {
     auto machine = machines_.find(host_of(call.address));
     if (machine == machines_.end()) return std::nullopt;
-    const auto passed = pass_machine_cut(from, machine->second, at);
-    if (!passed || same_side(machine->second, from)) return passed;
+    const auto passed = arrival_after_machine_cut(from, machine->second, at);
+    if (!passed || is_in_same_partition(machine->second, from)) return passed;
     at = *passed;
   }
   const Cut* cut = active_cut(from, link_to(call.target));
@@ -93,10 +93,10 @@
   return std::max(at, cut->until + latency());
 }
 
-std::optional<double> Network::pass_machine_cut(size_t from, const MachineLink& machine,
+std::optional<double> Network::arrival_after_machine_cut(size_t from, const MachineLink& machine,
                                                 double at) {
   if (machine.inbound_lost_until > simulation_.now()) return std::nullopt;
-  if (!machine.cut.active(simulation_.now()) || same_side(machine, from)) return at;
+  if (!machine.cut.is_active(simulation_.now()) || is_in_same_partition(machine, from)) return at;
   if (machine.cut.mode == CutMode::kDrop) return std::nullopt;
   return machine.cut.until + latency();
 }
@@ -104,43 +104,43 @@
 void Network::apply_message_faults(const Call& call, Delivery& delivery) {
   Random& random = simulation_.random;
   const MessageFaults& faults = message_faults_;
-  delivery.answer_lost = random.happens(faults.lost_answer_chance);
+  delivery.is_response_lost = random.bernoulli(faults.lost_response_probability);
   if (call.target == Target::kState) {
-    if (faults.store_delay_s > 0) delivery.at += faults.store_delay_s * random.unit();
-    if (faults.late_transactions.chance > 0 && call.path == "/txn" &&
-        random.happens(faults.late_transactions.chance)) {
-      delivery.answer_lost = true;
-      delivery.at += kMinTransactionDelay +
-                     (faults.late_transactions.up_to_s - kMinTransactionDelay) * random.unit();
+    if (faults.max_store_delay_s > 0) delivery.at += faults.max_store_delay_s * random.uniform_unit();
+    if (faults.delayed_transactions.probability > 0 && call.path == "/txn" &&
+        random.bernoulli(faults.delayed_transactions.probability)) {
+      delivery.is_response_lost = true;
+      delivery.at += kMinTransactionDelaySeconds +
+                     (faults.delayed_transactions.max_delay_s - kMinTransactionDelaySeconds) * random.uniform_unit();
     }
   }
-  if (call.target != Target::kCloud && random.happens(faults.late_requests.chance))
-    delivery.at += faults.late_requests.up_to_s * random.unit();
-  if (faults.late_commands.chance > 0 && call.path == "/commands" &&
-      random.happens(faults.late_commands.chance))
-    delivery.at += faults.late_commands.up_to_s * random.unit();
+  if (call.target != Target::kCloud && random.bernoulli(faults.delayed_requests.probability))
+    delivery.at += faults.delayed_requests.max_delay_s * random.uniform_unit();
+  if (faults.delayed_commands.probability > 0 && call.path == "/commands" &&
+      random.bernoulli(faults.delayed_commands.probability))
+    delivery.at += faults.delayed_commands.max_delay_s * random.uniform_unit();
 }
 
 HeartbeatRoute Network::route_heartbeat(const std::string& machine, size_t controller) const {
-  using Fate = HeartbeatRoute::Fate;
+  using Disposition = HeartbeatRoute::Disposition;
   const MachineLink& link = machines_.at(machine);
-  if (same_side(link, controller)) return {};
-  const Cut* machine_cut = link.cut.active(simulation_.now()) ? &link.cut : nullptr;
+  if (is_in_same_partition(link, controller)) return {};
+  const Cut* machine_cut = link.cut.is_active(simulation_.now()) ? &link.cut : nullptr;
   HeartbeatRoute route;
   for (const Cut* cut : {machine_cut, active_cut(controller, Link::kWorkers)}) {
     if (cut == nullptr) continue;
-    if (cut->mode == CutMode::kDrop) return {Fate::kLost};
-    route = {Fate::kHeld, std::max(route.held_until, cut->until)};
+    if (cut->mode == CutMode::kDrop) return {Disposition::kLost};
+    route = {Disposition::kDelayed, std::max(route.delayed_until, cut->until)};
   }
   return route;
 }
 
-bool Network::loses_answers(const std::string& machine, size_t controller) const {
+bool Network::loses_responses(const std::string& machine, size_t controller) const {
   auto it = machines_.find(machine);
   if (it == machines_.end()) return true;
   const MachineLink& link = it->second;
   if (link.inbound_lost_until > simulation_.now()) return true;
-  return link.cut.active(simulation_.now()) && !same_side(link, controller);
+  return link.cut.is_active(simulation_.now()) && !is_in_same_partition(link, controller);
 }
 
 }  // namespace standins
--- a/tests/standins/network.h
+++ b/tests/standins/network.h
@@ -23,7 +23,7 @@
 struct Cut {
   double until = 0;
   CutMode mode = CutMode::kDrop;
-  bool active(double now) const { return until > now; }
+  bool is_active(double now) const { return until > now; }
 };
 
 // The network state of one machine.
@@ -36,36 +36,36 @@
 
 // Delays a message with this probability by a uniformly drawn time.
 struct RandomDelay {
-  double chance = 0;
-  double up_to_s = 0;
+  double probability = 0;
+  double max_delay_s = 0;
 };
 
 // Faults that strike single messages at random. All are off at first.
 struct MessageFaults {
-  double lost_answer_chance = 0;     // of calls by controllers: executed, but the answer is lost
-  RandomDelay late_requests;         // to the store and to workers
-  RandomDelay late_transactions;     // executed late, after newer ones, and never answered
-  RandomDelay late_commands;         // to workers, while heartbeats and answers pass
+  double lost_response_probability = 0;     // of calls by controllers: executed, but the answer is lost
+  RandomDelay delayed_requests;         // to the store and to workers
+  RandomDelay delayed_transactions;     // executed late, after newer ones, and never answered
+  RandomDelay delayed_commands;         // to workers, while heartbeats and answers pass
   RandomDelay duplicate_heartbeats;  // a copy arrives late, at any controller
-  double store_delay_s = 0;          // each request to the store takes up to so long
+  double max_store_delay_s = 0;          // each request to the store takes up to so long
 };
 
 // What becomes of a call.
 struct Delivery {
   double at = 0;
-  bool answer_lost = false;
+  bool is_response_lost = false;
 };
 
 // What becomes of a heartbeat.
 struct HeartbeatRoute {
-  enum class Fate { kDelivered, kHeld, kLost } fate = Fate::kDelivered;
-  double held_until = 0;  // for kHeld
+  enum class Disposition { kDelivered, kDelayed, kLost } disposition = Disposition::kDelivered;
+  double delayed_until = 0;  // for kHeld
 };
 
 // Decides for each message whether and when it arrives. Delivering it is up to the caller.
 class Network {
  public:
-  static constexpr double kMinTransactionDelay = 1;  // s, of late transactions
+  static constexpr double kMinTransactionDelaySeconds = 1;  // s, of late transactions
 
   explicit Network(Simulation& simulation) : simulation_(simulation) {}
 
@@ -90,7 +90,7 @@
   std::optional<Delivery> route_call(size_t from, const rooksill::runtime::Call& call);
   HeartbeatRoute route_heartbeat(const std::string& machine, size_t controller) const;
   // Whether the machine misses the answer to a heartbeat that arrives now.
-  bool loses_answers(const std::string& machine, size_t controller) const;
+  bool loses_responses(const std::string& machine, size_t controller) const;
 
  private:
   struct ZonePartition {
@@ -101,9 +101,9 @@
 
   // The cut that separates the controller from all that the link leads to, if there is one.
   const Cut* active_cut(size_t controller, Link link) const;
-  bool same_side(const MachineLink& machine, size_t controller) const;
-  std::optional<double> pass_cuts(size_t from, const rooksill::runtime::Call& call, double at);
-  std::optional<double> pass_machine_cut(size_t from, const MachineLink& machine, double at);
+  bool is_in_same_partition(const MachineLink& machine, size_t controller) const;
+  std::optional<double> arrival_after_cuts(size_t from, const rooksill::runtime::Call& call, double at);
+  std::optional<double> arrival_after_machine_cut(size_t from, const MachineLink& machine, double at);
   void apply_message_faults(const rooksill::runtime::Call& call, Delivery& delivery);
 
   Simulation& simulation_;
--- a/tests/standins/random.h
+++ b/tests/standins/random.h
@@ -15,12 +15,12 @@
   explicit Random(uint64_t seed) : engine_(seed) {}
 
   uint64_t next() { return engine_(); }
-  double between(double low, double high) {
+  double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(engine_);
   }
-  double unit() { return between(0, 1); }
+  double uniform_unit() { return uniform(0, 1); }
   // True with this probability. Draws also if the probability is 0.
-  bool happens(double probability) { return unit() < probability; }
+  bool bernoulli(double probability) { return uniform_unit() < probability; }
   // An index into a list of `count` entries; `count` is not 0.
   size_t index(size_t count) { return engine_() % count; }
   // Draws as often as std::shuffle does for the list's length.
--- a/tests/standins/random_faults.cc
+++ b/tests/standins/random_faults.cc
@@ -9,13 +9,13 @@
 
 // What is drawn for each fault, whether its kind makes use of it or not.
 struct Draw {
-  double for_s = 0;
+  double duration_s = 0;
   size_t controller = 0;
   CutMode mode = CutMode::kHold;
   double strength = 0;  // between 0 and 1
   Link link = Link::kAll;
 
-  int few_machines(int most) const { return 1 + static_cast<int>(strength * most); }
+  int machine_count(int max_machines) const { return 1 + static_cast<int>(strength * max_machines); }
 };
 
 struct Target {
@@ -26,93 +26,93 @@
 
 using FaultFunction = void (*)(const Target&, const Draw&);
 
-void crash(const Target& t, const Draw& d) {
-  constexpr double kMaxDown = 3;  // s
-  t.faults.crash(d.controller, std::min(d.for_s, kMaxDown));
+void crash(const Target& target, const Draw& draw) {
+  constexpr double kMaxDowntimeSeconds = 3;  // s
+  target.faults.crash(draw.controller, std::min(draw.duration_s, kMaxDowntimeSeconds));
 }
 
-void restart(const Target& t, const Draw& d) { t.faults.crash(d.controller, 0.1); }
+void restart(const Target& target, const Draw& draw) { target.faults.crash(draw.controller, 0.1); }
 
-void crash_all(const Target& t, const Draw&) {
-  for (size_t i = 0; i < t.controllers; ++i) t.faults.crash(i, 1 + 0.2 * static_cast<double>(i));
+void crash_all(const Target& target, const Draw&) {
+  for (size_t i = 0; i < target.controllers; ++i) target.faults.crash(i, 1 + 0.2 * static_cast<double>(i));
 }
 
-void cut(const Target& t, const Draw& d) { t.faults.cut(d.controller, d.link, d.for_s, d.mode); }
+void cut(const Target& target, const Draw& draw) { target.faults.cut(draw.controller, draw.link, draw.duration_s, draw.mode); }
 
-void refuse_at_store(const Target& t, const Draw& d) {
-  t.faults.refuse_at_store(d.controller, d.for_s);
+void refuse_store_requests(const Target& target, const Draw& draw) {
+  target.faults.refuse_store_requests(draw.controller, draw.duration_s);
 }
 
-void store_outage(const Target& t, const Draw& d) { t.faults.store_outage(d.for_s); }
+void store_outage(const Target& target, const Draw& draw) { target.faults.store_outage(draw.duration_s); }
 
-void cut_machines(const Target& t, const Draw& d) {
-  t.faults.cut_machines(d.few_machines(2), d.for_s, d.mode);
+void cut_machines(const Target& target, const Draw& draw) {
+  target.faults.cut_machines(draw.machine_count(2), draw.duration_s, draw.mode);
 }
 
-void hang_machines(const Target& t, const Draw& d) {
-  t.faults.hang_machines(d.few_machines(2), d.for_s);
+void hang_machines(const Target& target, const Draw& draw) {
+  target.faults.hang_machines(draw.machine_count(2), draw.duration_s);
 }
 
-void lose_answers(const Target& t, const Draw& d) {
-  t.faults.lose_answers(0.1 + 0.4 * d.strength, d.for_s);
+void lose_responses(const Target& target, const Draw& draw) {
+  target.faults.lose_responses(0.1 + 0.4 * draw.strength, draw.duration_s);
 }
 
-void delay_requests(const Target& t, const Draw& d) {
-  t.faults.delay_requests(0.1 + 0.4 * d.strength, 1 + 5 * d.strength, d.for_s);
+void delay_requests(const Target& target, const Draw& draw) {
+  target.faults.delay_requests(0.1 + 0.4 * draw.strength, 1 + 5 * draw.strength, draw.duration_s);
 }
 
-void reclaim_spot(const Target& t, const Draw& d) {
-  t.faults.reclaim_spot(0.6, d.strength < 0.5 ? 0 : 3);
+void reclaim_spot(const Target& target, const Draw& draw) {
+  target.faults.reclaim_spot(0.6, draw.strength < 0.5 ? 0 : 3);
 }
 
-void lose_machine_inbound(const Target& t, const Draw& d) {
-  t.faults.lose_machine_inbound(d.few_machines(2), 2 * d.for_s);
+void lose_machine_inbound(const Target& target, const Draw& draw) {
+  target.faults.lose_machine_inbound(draw.machine_count(2), 2 * draw.duration_s);
 }
 
-void duplicate_heartbeats(const Target& t, const Draw& d) {
-  t.faults.duplicate_heartbeats(0.2 + 0.5 * d.strength, 4 * d.for_s, d.for_s);
+void duplicate_heartbeats(const Target& target, const Draw& draw) {
+  target.faults.duplicate_heartbeats(0.2 + 0.5 * draw.strength, 4 * draw.duration_s, draw.duration_s);
 }
 
-void freeze(const Target& t, const Draw& d) { t.faults.freeze(d.controller, 1.5 * d.for_s); }
+void freeze(const Target& target, const Draw& draw) { target.faults.freeze(draw.controller, 1.5 * draw.duration_s); }
 
-void delay_transactions(const Target& t, const Draw& d) {
-  t.faults.delay_transactions(0.2 + 0.4 * d.strength, 2 + 6 * d.strength, d.for_s);
+void delay_transactions(const Target& target, const Draw& draw) {
+  target.faults.delay_transactions(0.2 + 0.4 * draw.strength, 2 + 6 * draw.strength, draw.duration_s);
 }
 
-void slow_store(const Target& t, const Draw& d) {
-  t.faults.slow_store(0.2 + 0.8 * d.strength, d.for_s);
+void slow_store(const Target& target, const Draw& draw) {
+  target.faults.slow_store(0.2 + 0.8 * draw.strength, draw.duration_s);
 }
 
-void lose_machine_outbound(const Target& t, const Draw& d) {
-  t.faults.lose_machine_outbound(d.few_machines(4), 2 * d.for_s);
+void lose_machine_outbound(const Target& target, const Draw& draw) {
+  target.faults.lose_machine_outbound(draw.machine_count(4), 2 * draw.duration_s);
 }
 
-void cancel_running_jobs(const Target& t, const Draw& d) {
-  t.faults.cancel_running_jobs(d.few_machines(4), d.strength < 0.5 ? 0 : d.for_s);
+void cancel_running_jobs(const Target& target, const Draw& draw) {
+  target.faults.cancel_running_jobs(draw.machine_count(4), draw.strength < 0.5 ? 0 : draw.duration_s);
 }
 
-void cancel_on_completion(const Target& t, const Draw& d) {
-  t.faults.cancel_on_completion(0.5, d.for_s);
+void cancel_on_completion(const Target& target, const Draw& draw) {
+  target.faults.cancel_on_completion(0.5, draw.duration_s);
 }
 
-void send_odd_requests(const Target& t, const Draw& d) { t.faults.send_odd_requests(d.for_s); }
+void send_unexpected_requests(const Target& target, const Draw& draw) { target.faults.send_unexpected_requests(draw.duration_s); }
 
 // A controller that cannot write is soon without its peers, jobs are cancelled through the others,
 // and then the store answers nobody, so that it cannot learn of the cancellations.
-void cancel_behind_refused_controller(const Target& t, const Draw& d) {
-  t.faults.refuse_at_store(d.controller, 2 + d.for_s);
-  t.faults.cut(d.controller, Link::kPeers, 0.2 + d.strength, d.mode);
-  t.faults.cancel_running_jobs(2, 0);
-  t.simulation.events.after(0.3 + d.strength / 2, [&faults = t.faults, for_s = d.for_s] {
-    faults.store_outage(2 * for_s);
+void cancel_behind_refused_controller(const Target& target, const Draw& draw) {
+  target.faults.refuse_store_requests(draw.controller, 2 + draw.duration_s);
+  target.faults.cut(draw.controller, Link::kPeers, 0.2 + draw.strength, draw.mode);
+  target.faults.cancel_running_jobs(2, 0);
+  target.simulation.events.after(0.3 + draw.strength / 2, [&faults = target.faults, duration_s = draw.duration_s] {
+    faults.store_outage(2 * duration_s);
   });
 }
 
 // A controller without store and peers that still reaches workers and users.
-void isolate_from_store_and_peers(const Target& t, const Draw& d) {
-  t.faults.cut(d.controller, Link::kStore, 2 * d.for_s, d.mode);
-  t.faults.cut(d.controller, Link::kPeers, 2 * d.for_s, d.mode);
-  t.faults.cancel_running_jobs(2, 0);
+void isolate_from_store_and_peers(const Target& target, const Draw& draw) {
+  target.faults.cut(draw.controller, Link::kStore, 2 * draw.duration_s, draw.mode);
+  target.faults.cut(draw.controller, Link::kPeers, 2 * draw.duration_s, draw.mode);
+  target.faults.cancel_running_jobs(2, 0);
 }
 
 // Each entry is equally likely. The order is part of what a seed stands for.
@@ -124,11 +124,11 @@
     cut,
     cut,
     cut,
-    refuse_at_store,
+    refuse_store_requests,
     store_outage,
     cut_machines,
     hang_machines,
-    lose_answers,
+    lose_responses,
     delay_requests,
     reclaim_spot,
     lose_machine_inbound,
@@ -139,7 +139,7 @@
     lose_machine_outbound,
     cancel_running_jobs,
     cancel_on_completion,
-    send_odd_requests,
+    send_unexpected_requests,
     cancel_behind_refused_controller,
     isolate_from_store_and_peers,
 };
@@ -150,16 +150,16 @@
 
 void schedule_random_faults(Simulation& simulation, size_t controllers, FaultInjector& faults,
                             double from, double to, int count) {
-  constexpr double kMinFor = 0.3, kMaxExtra = 9, kHoldProbability = 0.6;
+  constexpr double kMinDurationSeconds = 0.3, kMaxExtraDurationSeconds = 9, kHoldProbability = 0.6;
   Random& random = simulation.random;
   const Target target{simulation, controllers, faults};
   for (int i = 0; i < count; ++i) {
-    const double at = from + random.unit() * (to - from);
+    const double at = from + random.uniform_unit() * (to - from);
     Draw draw;
-    draw.for_s = kMinFor + random.unit() * kMaxExtra;
+    draw.duration_s = kMinDurationSeconds + random.uniform_unit() * kMaxExtraDurationSeconds;
     draw.controller = random.index(controllers);
-    draw.mode = random.happens(kHoldProbability) ? CutMode::kHold : CutMode::kDrop;
-    draw.strength = random.unit();
+    draw.mode = random.bernoulli(kHoldProbability) ? CutMode::kHold : CutMode::kDrop;
+    draw.strength = random.uniform_unit();
     const FaultFunction inject = kFaults[random.index(std::size(kFaults))];
     draw.link = kLinks[random.index(std::size(kLinks))];
     simulation.events.at(at, [target, inject, draw] { inject(target, draw); });
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kQuotaSlack = 1e-6;  // CPUs, for sums of fractions
+constexpr double kQuotaToleranceCpus = 1e-6;  // CPUs, for sums of fractions
 // What the protocol requires of a submission.
 constexpr const char* kRequiredFields[] = {"id",       "flock",  "owner",     "shape",  "rank",
                                            "pieces",   "cores",  "memory_gb", "bundle", "size_gb",
@@ -28,37 +28,37 @@
 
 // ---- answers to users ----------------------------------------------------------------------
 
-void RuleChecker::check_submit_answer(const UserJob& job, const HttpAnswer& answer) {
-  const bool rejected = answer.status == 400 || answer.status == 422;
-  const bool accepted = answer.status == 200 || answer.status == 201;
-  if (rejected && job.accepted())
-    simulation_.violation("forgotten: " + job.id() + " answered " + std::to_string(answer.status));
+void RuleChecker::check_submit_response(const UserJob& job, const HttpResponse& response) {
+  const bool rejected = response.status == 400 || response.status == 422;
+  const bool accepted = response.status == 200 || response.status == 201;
+  if (rejected && job.is_accepted())
+    simulation_.add_violation("forgotten: " + job.id() + " answered " + std::to_string(response.status));
   if (accepted && !can_run(job))
-    simulation_.violation("accepted though it cannot run or lacks a field: " + job.id());
-  if (answer.status == 503 && answer.retry_after_s <= 0)
-    simulation_.violation("503 without Retry-After for " + job.id());
+    simulation_.add_violation("accepted though it cannot run or lacks a field: " + job.id());
+  if (response.status == 503 && response.retry_after_s <= 0)
+    simulation_.add_violation("503 without Retry-After for " + job.id());
 }
 
-Outcome RuleChecker::check_status_answer(const UserJob& job, const HttpAnswer& answer,
+Outcome RuleChecker::check_status_response(const UserJob& job, const HttpResponse& response,
                                          bool is_poll) {
-  if (answer.status == 404 && job.accepted()) simulation_.violation("forgotten: " + job.id());
-  if (answer.status != 200 && answer.status != 201) return Outcome::kNone;
-  const json body = json::parse(answer.body, nullptr, false);
+  if (response.status == 404 && job.is_accepted()) simulation_.add_violation("forgotten: " + job.id());
+  if (response.status != 200 && response.status != 201) return Outcome::kNone;
+  const json body = json::parse(response.body, nullptr, false);
   if (!body.is_object()) {
-    simulation_.violation("malformed answer for " + job.id());
+    simulation_.add_violation("malformed answer for " + job.id());
     return Outcome::kNone;
   }
   const auto status = body.value("status", "");
   const Outcome outcome = parse_outcome(status);
-  if (is_poll && !job.accepted() && job.submit_status == 0)
-    simulation_.violation("invented: " + job.id());
-  if (job.is_over() && outcome != job.outcome)
-    simulation_.violation("went_back: " + job.id() + " was " + wire_name(job.outcome) + ", is " +
+  if (is_poll && !job.is_accepted() && job.submit_status == 0)
+    simulation_.add_violation("invented: " + job.id());
+  if (job.has_final_status() && outcome != job.outcome)
+    simulation_.add_violation("went_back: " + job.id() + " was " + wire_name(job.outcome) + ", is " +
                           status);
   if (outcome == Outcome::kDone && ledger_.done_at(job.id()) < 0)
-    simulation_.violation("not_done: " + job.id());
+    simulation_.add_violation("not_done: " + job.id());
   if (outcome == Outcome::kCancelled && !job.cancel_requested)
-    simulation_.violation("went_back: " + job.id() + " not cancelled");
+    simulation_.add_violation("went_back: " + job.id() + " not cancelled");
   return outcome;
 }
 
@@ -86,7 +86,7 @@
 
 void RuleChecker::before_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) {
   for (const auto& [machine, other_attempt] : ledger_.machines_of(task))
-    simulation_.violation("ran_twice: " + task.job + "/" + std::to_string(task.index) +
+    simulation_.add_violation("ran_twice: " + task.job + "/" + std::to_string(task.index) +
                           " attempt " + std::to_string(attempt) + " starts on " + worker.name +
                           " while attempt " + std::to_string(other_attempt) + " is on " + machine);
 }
@@ -95,18 +95,18 @@
   const UserJob& job = jobs_.at(task.job);
   check_machine(worker, job);
   check_zones(job);
-  if (job.told_cancelled_at >= 0 && simulation_.now() > job.told_cancelled_at + cancel_s_)
-    simulation_.violation("ran_cancelled: " + job.id() + " starts");
+  if (job.reported_cancelled_at >= 0 && simulation_.now() > job.reported_cancelled_at + cancel_s_)
+    simulation_.add_violation("ran_cancelled: " + job.id() + " starts");
   check_quotas();
 }
 
 void RuleChecker::check_machine(const Worker& worker, const UserJob& job) {
   if (worker.spot && !job.spot)
-    simulation_.violation("wrong_place: " + job.id() + " on a spot machine");
+    simulation_.add_violation("wrong_place: " + job.id() + " on a spot machine");
   if (!job.allows_zone(worker.zone))
-    simulation_.violation("wrong_place: " + job.id() + " in " + worker.zone);
+    simulation_.add_violation("wrong_place: " + job.id() + " in " + worker.zone);
   if (!job.allows_type(worker.type))
-    simulation_.violation("wrong_place: " + job.id() + " on " + worker.type);
+    simulation_.add_violation("wrong_place: " + job.id() + " on " + worker.type);
 }
 
 void RuleChecker::check_zones(const UserJob& job) {
@@ -115,10 +115,10 @@
     for (const auto& [machine, attempt] : ledger_.machines_of({job.id(), i}))
       ++tasks_by_zone[cloud_.machines.at(machine).zone];
   for (const auto& [zone, tasks] : tasks_by_zone)
-    if (job.spread && tasks > job.most_in_zone())
-      simulation_.violation("wrong_place: " + job.id() + " not spread");
+    if (job.spread && tasks > job.max_tasks_per_zone())
+      simulation_.add_violation("wrong_place: " + job.id() + " not spread");
   if (job.one_zone && tasks_by_zone.size() > 1)
-    simulation_.violation("wrong_place: " + job.id() + " not together");
+    simulation_.add_violation("wrong_place: " + job.id() + " not together");
 }
 
 void RuleChecker::check_quotas() {
@@ -130,16 +130,16 @@
   }
   for (const auto& [team, cpus] : cpus_by_team) {
     const double max = cpus_max_of(teams_, team);
-    if (max > 0 && cpus > max + kQuotaSlack) simulation_.violation("quota: " + team);
+    if (max > 0 && cpus > max + kQuotaToleranceCpus) simulation_.add_violation("quota: " + team);
   }
 }
 
 void RuleChecker::check_cancelled_jobs() {
   for (const auto& [id, job] : jobs_) {
-    if (job.told_cancelled_at < 0 || simulation_.now() < job.told_cancelled_at + cancel_s_)
+    if (job.reported_cancelled_at < 0 || simulation_.now() < job.reported_cancelled_at + cancel_s_)
       continue;
     for (int i = 0; i < job.workload.tasks; ++i)
-      if (!ledger_.machines_of({id, i}).empty()) simulation_.violation("ran_cancelled: " + id);
+      if (!ledger_.machines_of({id, i}).empty()) simulation_.add_violation("ran_cancelled: " + id);
   }
 }
 
--- a/tests/standins/rule_checker.h
+++ b/tests/standins/rule_checker.h
@@ -34,9 +34,9 @@
         cancel_s_(cancel_s) {}
 
   // Answers to users. `job` is as it was before the answer.
-  void check_submit_answer(const UserJob& job, const HttpAnswer& answer);
+  void check_submit_response(const UserJob& job, const HttpResponse& response);
   // Returns the final status that the answer tells, kNone if it tells none.
-  Outcome check_status_answer(const UserJob& job, const HttpAnswer& answer, bool is_poll);
+  Outcome check_status_response(const UserJob& job, const HttpResponse& response, bool is_poll);
 
   // Tasks, as they start.
   void before_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) override;
--- a/tests/standins/simulation.h
+++ b/tests/standins/simulation.h
@@ -18,7 +18,7 @@
 
   // Records that a rule of the protocol was broken at the present time. A run with any violation
   // has failed.
-  void violation(const std::string& text) {
+  void add_violation(const std::string& text) {
     violations_.push_back("t=" + std::to_string(now()) + " " + text);
   }
   const std::vector<std::string>& violations() const { return violations_; }
--- a/tests/standins/starvation_check.cc
+++ b/tests/standins/starvation_check.cc
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr double kMaxWait = 30;     // s
-constexpr double kSettleTime = 30;  // s from a machine's boot until it has to be used
+constexpr double kMaxPendingSeconds = 30;     // s
+constexpr double kSettleSeconds = 30;  // s from a machine's boot until it has to be used
 
 }  // namespace
 
 void StarvationCheck::check(double faults_end) {
-  if (simulation_.now() < faults_end) return waiting_since_.clear();
+  if (simulation_.now() < faults_end) return pending_since_.clear();
   Usage usage = current_usage();
-  std::map<std::string, double> still_waiting;
+  std::map<std::string, double> still_pending;
   for (const auto& [id, job] : jobs_) {
-    if (!wants_more(job, usage) || !any_machine_has_room(job, usage)) continue;
-    auto known = waiting_since_.find(id);
-    const double since = known != waiting_since_.end() ? known->second : simulation_.now();
-    still_waiting[id] = since;
-    if (simulation_.now() - since > kMaxWait)
-      simulation_.violation("waits though there is room: " + id);
+    if (!has_startable_tasks(job, usage) || !any_machine_has_capacity(job, usage)) continue;
+    auto known = pending_since_.find(id);
+    const double since = known != pending_since_.end() ? known->second : simulation_.now();
+    still_pending[id] = since;
+    if (simulation_.now() - since > kMaxPendingSeconds)
+      simulation_.add_violation("waits though there is room: " + id);
   }
-  waiting_since_ = std::move(still_waiting);
+  pending_since_ = std::move(still_pending);
 }
 
 StarvationCheck::Usage StarvationCheck::current_usage() const {
@@ -40,30 +40,30 @@
 }
 
 // Whether the job has tasks that are neither done nor running, within its team's limit.
-bool StarvationCheck::wants_more(const UserJob& job, Usage& usage) const {
-  if (!job.accepted() || job.is_over() || job.cancel_requested || job.one_zone ||
+bool StarvationCheck::has_startable_tasks(const UserJob& job, Usage& usage) const {
+  if (!job.is_accepted() || job.has_final_status() || job.cancel_requested || job.one_zone ||
       job.workload.fails || job.workload.is_gang())
     return false;
-  const int left =
+  const int pending_tasks =
       job.workload.tasks - usage.running_by_job[job.id()] - ledger_.completed_tasks(job.workload);
   const double max = cpus_max_of(teams_, job.team);
-  return left > 0 && (max <= 0 || usage.cpus_by_team[job.team] + job.workload.cpus <= max);
+  return pending_tasks > 0 && (max <= 0 || usage.cpus_by_team[job.team] + job.workload.cpus <= max);
 }
 
-bool StarvationCheck::any_machine_has_room(const UserJob& job, Usage& usage) const {
+bool StarvationCheck::any_machine_has_capacity(const UserJob& job, Usage& usage) const {
   auto& tasks_by_zone = usage.tasks_by_job_and_zone[job.id()];
   return std::any_of(fleet_.workers().begin(), fleet_.workers().end(), [&](const auto& entry) {
     const Worker& worker = *entry.second;
-    return has_room(job, worker, tasks_by_zone[worker.zone]);
+    return has_capacity(job, worker, tasks_by_zone[worker.zone]);
   });
 }
 
-bool StarvationCheck::has_room(const UserJob& job, const Worker& worker, int tasks_in_zone) const {
+bool StarvationCheck::has_capacity(const UserJob& job, const Worker& worker, int tasks_in_zone) const {
   const bool in_service = !worker.dead && !worker.faulty && !worker.reclaim_at &&
-                          simulation_.now() - worker.booted_at() > kSettleTime;
+                          simulation_.now() - worker.booted_at() > kSettleSeconds;
   const bool allowed = (!worker.spot || job.spot) && job.allows_zone(worker.zone) &&
                        job.allows_type(worker.type) &&
-                       (!job.spread || tasks_in_zone < job.most_in_zone());
+                       (!job.spread || tasks_in_zone < job.max_tasks_per_zone());
   return in_service && allowed && worker.free_cpus() >= job.workload.cpus &&
          worker.free_memory_gb() >= job.workload.memory_gb;
 }
--- a/tests/standins/starvation_check.h
+++ b/tests/standins/starvation_check.h
@@ -33,16 +33,16 @@
   };
 
   Usage current_usage() const;
-  bool wants_more(const UserJob& job, Usage& usage) const;
-  bool has_room(const UserJob& job, const Worker& worker, int tasks_in_zone) const;
-  bool any_machine_has_room(const UserJob& job, Usage& usage) const;
+  bool has_startable_tasks(const UserJob& job, Usage& usage) const;
+  bool has_capacity(const UserJob& job, const Worker& worker, int tasks_in_zone) const;
+  bool any_machine_has_capacity(const UserJob& job, Usage& usage) const;
 
   Simulation& simulation_;
   const UserJobs& jobs_;
   const TeamQuotas& teams_;
   const TaskLedger& ledger_;
   const MachineFleet& fleet_;
-  std::map<std::string, double> waiting_since_;  // jobs that wait though there is room
+  std::map<std::string, double> pending_since_;  // jobs that wait though there is room
 };
 
 }  // namespace standins
--- a/tests/standins/task_ledger.cc
+++ b/tests/standins/task_ledger.cc
@@ -16,7 +16,7 @@
   JobRecord& record = job_records_[task.job];
   ++record.starts;
   if (record.started_at < 0 && !job.workload.is_gang()) record.started_at = simulation_.now();
-  if (job.told_cancelled_at >= 0) ++starts_after_cancel_;
+  if (job.reported_cancelled_at >= 0) ++starts_after_cancel_;
   for (TaskObserver* observer : observers_) observer->after_task_start(worker, task);
 }
 
--- a/tests/standins/odd_requests.h
+++ b/tests/standins/unexpected_requests.h
@@ -14,9 +14,9 @@
 
 // Repeats of accepted jobs, also changed ones; cancellations of jobs that are done; questions about
 // jobs that nobody submitted; jobs that fit no machine, belong to no team or lack a field.
-class OddRequests {
+class UnexpectedRequests {
  public:
-  OddRequests(Simulation& simulation, ControllerCluster& cluster, Users& users,
+  UnexpectedRequests(Simulation& simulation, ControllerCluster& cluster, Users& users,
               const UserJobs& jobs)
       : simulation_(simulation), cluster_(cluster), users_(users), jobs_(jobs) {}
 
@@ -27,7 +27,7 @@
   void send_next();
   void repeat_submission(size_t controller, const UserJob& job);
   void cancel_done_job(size_t controller, const UserJob& job);
-  void ask_about_unknown_job(size_t controller);
+  void query_unknown_job(size_t controller);
   void submit_invalid_job(size_t controller, const UserJob& pattern);
 
   Simulation& simulation_;
--- a/tests/standins/user_job.h
+++ b/tests/standins/user_job.h
@@ -10,7 +10,7 @@
 
 namespace standins {
 
-enum class Submission { kPending, kAccepted, kRejected, kGivenUp };
+enum class Submission { kPending, kAccepted, kRejected, kTimedOut };
 
 // The last final status that a user was told; later answers may not differ from it.
 enum class Outcome { kNone, kDone, kCancelled };
@@ -28,16 +28,16 @@
   bool cancel_requested = false;
   int submit_status = 0;          // of the last answer to its submission
   double submitted_at = 0;        // first try
-  double told_cancelled_at = -1;  // -1: never
-  double last_answered_at = -1;   // with 200 or 201; -1: never
+  double reported_cancelled_at = -1;  // -1: never
+  double last_response_at = -1;   // with 200 or 201; -1: never
 
   const std::string& id() const { return workload.id; }
-  bool accepted() const { return submission == Submission::kAccepted; }
-  bool is_over() const { return outcome != Outcome::kNone; }
+  bool is_accepted() const { return submission == Submission::kAccepted; }
+  bool has_final_status() const { return outcome != Outcome::kNone; }
   bool allows_type(const std::string& name) const;
   bool allows_zone(const std::string& name) const { return zone.empty() || zone == name; }
   // How many tasks of a spread job may be in one zone: half of them, rounded up.
-  int most_in_zone() const { return (workload.tasks + 1) / 2; }
+  int max_tasks_per_zone() const { return (workload.tasks + 1) / 2; }
 };
 
 // By ID.
--- a/tests/standins/users.h
+++ b/tests/standins/users.h
@@ -24,21 +24,21 @@
   void cancel(const std::string& job_id);
   // Takes in what a controller says about the job; the answer is checked. `is_poll`: the answer to
   // a question, not to a submission or cancellation.
-  void observe_answer(const std::string& job_id, const HttpAnswer& answer, bool is_poll);
+  void process_response(const std::string& job_id, const HttpResponse& response, bool is_poll);
   // From now on users cancel a job, with this probability, at the moment its last task completes.
   void set_cancel_on_completion(double probability) { cancel_on_completion_ = probability; }
 
   // Sends a request that is not repeated.
   void request(size_t controller, HttpRequest request,
-               const ControllerCluster::AnswerHandler& on_answer);
+               const ControllerCluster::ResponseHandler& on_response);
 
-  bool all_jobs_over() const;
+  bool are_all_jobs_finished() const;
 
   void on_job_done(const std::string& job_id) override;
 
  private:
   void try_submit(const std::string& job_id);
-  void on_submit_answer(const std::string& job_id, const HttpAnswer& answer, bool was_over);
+  void on_submit_response(const std::string& job_id, const HttpResponse& response, bool had_final_status);
   void try_cancel(const std::string& job_id);
   void poll(const std::string& job_id);
   void retry_after(double delay_s, void (Users::*action)(const std::string&),
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double kMinHeartbeatInterval = 0.5;  // s between heartbeats caused by changes
-constexpr double kRedirectDelay = 0.1;         // s until the heartbeat to the controller named
-constexpr double kRetryDelay = 1;              // s until the next controller is tried
-constexpr double kFailureTime = 0.3;           // s until a task that fails exits
-constexpr double kCpuSlack = 1e-9;             // for sums of fractions
+constexpr double kMinHeartbeatIntervalSeconds = 0.5;  // s between heartbeats caused by changes
+constexpr double kRedirectDelaySeconds = 0.1;         // s until the heartbeat to the controller named
+constexpr double kRetryDelaySeconds = 1;              // s until the next controller is tried
+constexpr double kFailureSeconds = 0.3;           // s until a task that fails exits
+constexpr double kCpuTolerance = 1e-9;             // for sums of fractions
 
 TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
@@ -66,11 +66,11 @@
     const double fetch_s = cached ? 0 : workload.image_gb / spec_.fetch_gb_per_s;
     if (elapsed >= fetch_s) begin_after_fetch(task, workload);
   } else if (workload.fails || faulty) {
-    if (elapsed > kFailureTime) exit(task, "error");
+    if (elapsed > kFailureSeconds) exit_task(task, "error");
   } else if (!workload.is_gang()) {
     advance_array_task(task, workload);
   } else if (environment_.is_completed(task.key)) {
-    exit(task, "done");
+    exit_task(task, "done");
   } else {
     advance_gang_task(task, workload);
   }
@@ -81,9 +81,9 @@
   task.phase = workload.is_gang() ? Phase::kWaitingForGang : Phase::kRunning;
   task.phase_since = now_;
   task.progress = environment_.saved_progress(task.key);
-  changed_ = true;
+  has_unreported_changes_ = true;
   environment_.task_started(*this, task.key, task.attempt);
-  if (environment_.is_completed(task.key)) return exit(task, "done");
+  if (environment_.is_completed(task.key)) return exit_task(task, "done");
   if (workload.is_gang()) join_gang(task, workload);
 }
 
@@ -93,7 +93,7 @@
     if (elapsed < workload.save_s) return;
     environment_.save_progress(task.key, task.progress);
     task.saved = true;
-    return exit(task, "stopped");
+    return exit_task(task, "stopped");
   }
   if (workload.is_service()) return;
   const double progress = task.progress + now_ - task.phase_since;
@@ -102,14 +102,14 @@
         task.key, std::floor(progress / workload.checkpoint_s) * workload.checkpoint_s);
   if (progress < workload.run_s) return;
   environment_.complete(task.key);
-  exit(task, "done");
+  exit_task(task, "done");
 }
 
 void Worker::advance_gang_task(Task& task, const Workload& workload) {
   GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
   if (!wait_for_gang(task, gang)) return;
   if (save_with_gang(task, workload, gang)) return;
-  if (gang_is_broken(workload, gang)) return exit(task, "mates_gone");
+  if (is_gang_broken(workload, gang)) return exit_task(task, "mates_gone");
   if (task.phase == Phase::kSaving || gang.first_stop_at >= 0) return;
   const double progress = gang.progress + now_ - gang.started_at;
   if (gang.task_lost_at < 0 && workload.checkpoint_s > 0)
@@ -120,7 +120,7 @@
     const TaskKey member{task.key.job, i};
     if (!environment_.is_completed(member)) environment_.complete(member);
   }
-  exit(task, "done");
+  exit_task(task, "done");
 }
 
 // Whether the gang has started, so that the task is past waiting.
@@ -128,33 +128,33 @@
   if (task.phase != Phase::kWaitingForGang) return true;
   if (gang.started_at >= 0) {
     task.phase = Phase::kRunning;
-    changed_ = true;
+    has_unreported_changes_ = true;
     return true;
   }
-  if (now_ - task.phase_since > times_.gang_wait_s) exit(task, "alone");
+  if (now_ - task.phase_since > times_.gang_wait_s) exit_task(task, "alone");
   return false;
 }
 
 // A gang saves all together or not at all. Whether the task has saved and exited.
 bool Worker::save_with_gang(Task& task, const Workload& workload, GangAttempt& gang) {
   if (task.phase != Phase::kSaving || now_ - task.phase_since < workload.save_s) return false;
-  const bool all_told = static_cast<int>(gang.told_to_stop.size()) == workload.tasks;
-  const bool can_save = !gang.stopped_without_saving && gang.task_lost_at < 0 && all_told;
+  const bool all_told = static_cast<int>(gang.stopped_with_grace.size()) == workload.tasks;
+  const bool can_save = !gang.is_stopped_without_saving && gang.task_lost_at < 0 && all_told;
   if (!gang.saved && !can_save) return false;
   gang.saved = true;
   environment_.save_progress(task.key, gang.progress);
   task.saved = true;
-  exit(task, "stopped");
+  exit_task(task, "stopped");
   return true;
 }
 
 // Whether the others have noticed, which takes them a while, that a task was lost or that not all
 // were told to stop in time.
-bool Worker::gang_is_broken(const Workload& workload, const GangAttempt& gang) const {
+bool Worker::is_gang_broken(const Workload& workload, const GangAttempt& gang) const {
   if (gang.saved) return false;
   if (gang.task_lost_at >= 0 && now_ - gang.task_lost_at > times_.gang_peer_s / 2) return true;
   return gang.first_stop_at >= 0 && now_ - gang.first_stop_at > times_.gang_peer_s &&
-         static_cast<int>(gang.told_to_stop.size()) < workload.tasks;
+         static_cast<int>(gang.stopped_with_grace.size()) < workload.tasks;
 }
 
 void Worker::join_gang(const Task& task, const Workload& workload) {
@@ -175,11 +175,11 @@
   if (gang.started_at >= 0 && gang.task_lost_at < 0) gang.task_lost_at = now_;
 }
 
-void Worker::exit(Task& task, const std::string& cause) {
+void Worker::exit_task(Task& task, const std::string& cause) {
   const bool was_on_machine = task.is_on_machine();
   task.phase = Phase::kExited;
   task.exit_cause = cause;
-  changed_ = true;
+  has_unreported_changes_ = true;
   if (!was_on_machine) return;
   leave_gang(task);
   environment_.task_ended(*this, task.key);
@@ -203,20 +203,20 @@
   end_all_tasks();
   ++agent_epoch;
   lease_renewed_at_ = now;
-  changed_ = true;
+  has_unreported_changes_ = true;
 }
 
 // ---- heartbeats ----------------------------------------------------------------------------
 
-bool Worker::wants_to_send_heartbeat(double now) const {
+bool Worker::should_send_heartbeat(double now) const {
   if (dead || hanging || heartbeat_in_flight_ || now < next_heartbeat_allowed_) return false;
-  return now >= next_heartbeat_ || changed_;
+  return now >= next_heartbeat_ || has_unreported_changes_;
 }
 
 std::string Worker::make_heartbeat(double now) {
   heartbeat_in_flight_ = true;
-  changed_ = false;
-  next_heartbeat_allowed_ = now + kMinHeartbeatInterval;
+  has_unreported_changes_ = false;
+  next_heartbeat_allowed_ = now + kMinHeartbeatIntervalSeconds;
   next_heartbeat_ = now + times_.heartbeat_s;
   return make_report(now);
 }
@@ -262,35 +262,35 @@
   return report.dump();
 }
 
-void Worker::on_heartbeat_answer(double now, const HttpAnswer& answer, double sent_at,
+void Worker::on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
                                  uint64_t sent_epoch) {
   heartbeat_in_flight_ = false;
   if (dead) return;
-  const json body = json::parse(answer.body, nullptr, false);
-  if (answer.status != 200 || !body.is_object()) return change_controller(answer, now);
+  const json body = json::parse(response.body, nullptr, false);
+  if (response.status != 200 || !body.is_object()) return change_controller(response, now);
   if (sent_epoch != agent_epoch) return;
   const uint64_t token = body.value("baton", uint64_t{0});
   if (token < fencing_token_) return;  // dropped: neither executed nor renewing
   observe_fencing_token(token);
   lease_renewed_at_ = sent_at;
-  execute(now, body.value("orders", json()));
+  execute_commands(now, body.value("orders", json()));
 }
 
 // To the one that the answer names; to the next if it names none.
-void Worker::change_controller(const HttpAnswer& answer, double now) {
-  const json body = json::parse(answer.body, nullptr, false);
-  if (answer.status == 421 && body.is_object() && body.contains("steward")) {
+void Worker::change_controller(const HttpResponse& response, double now) {
+  const json body = json::parse(response.body, nullptr, false);
+  if (response.status == 421 && body.is_object() && body.contains("steward")) {
     const auto named =
         std::find(controllers.begin(), controllers.end(), body["steward"].get<std::string>());
     const auto index = static_cast<size_t>(named - controllers.begin());
     if (named != controllers.end() && index != current_controller) {
       current_controller = index;
-      next_heartbeat_ = next_heartbeat_allowed_ = now + kRedirectDelay;
+      next_heartbeat_ = next_heartbeat_allowed_ = now + kRedirectDelaySeconds;
       return;
     }
   }
   current_controller = (current_controller + 1) % controllers.size();
-  next_heartbeat_ = next_heartbeat_allowed_ = now + kRetryDelay;
+  next_heartbeat_ = next_heartbeat_allowed_ = now + kRetryDelaySeconds;
 }
 
 // A heartbeat follows at once if the token changed, but not at each of many changes in a row.
@@ -298,13 +298,13 @@
   if (token <= fencing_token_) return;
   fencing_token_ = token;
   if (now_ - last_token_change_ < times_.lease_s / 2) return;
-  changed_ = true;
+  has_unreported_changes_ = true;
   last_token_change_ = now_;
 }
 
 // ---- commands ------------------------------------------------------------------------------
 
-HttpAnswer Worker::handle(double now, const HttpRequest& request) {
+HttpResponse Worker::handle_request(double now, const HttpRequest& request) {
   now_ = now;
   if (request.method == "GET" && request.target == "/inspect") return {200, make_report(now)};
   const json body = json::parse(request.body, nullptr, false);
@@ -313,7 +313,7 @@
   if (token < fencing_token_) return {409, make_report(now)};
   observe_fencing_token(token);
   if (body["tenure"].get<uint64_t>() != agent_epoch) return {409, make_report(now)};
-  execute(now, body.value("orders", json()));
+  execute_commands(now, body.value("orders", json()));
   return {200, make_report(now)};
 }
 
@@ -322,7 +322,7 @@
                       [&](const Task& task) { return task.key == key && task.attempt == attempt; });
 }
 
-void Worker::execute(double now, const json& commands) {
+void Worker::execute_commands(double now, const json& commands) {
   for (const auto& command : commands) {
     const TaskKey key = parse_task(command["piece"].get<std::string>());
     const uint64_t attempt = command["try"];
@@ -336,7 +336,7 @@
       if (task->phase != Phase::kExited) execute_stop(*task, command.value("mercy_s", 0.0));
     } else if (verb == "reap" && task->phase == Phase::kExited) {
       tasks_.erase(task);
-      changed_ = true;
+      has_unreported_changes_ = true;
     }
   }
 }
@@ -346,48 +346,48 @@
   task.key = key;
   task.attempt = attempt;
   task.phase_since = now;
-  task.exit_cause = reason_to_refuse(key);
+  task.exit_cause = refusal_cause(key);
   if (!task.exit_cause.empty()) task.phase = Phase::kExited;
   tasks_.push_back(task);
-  changed_ = true;
+  has_unreported_changes_ = true;
 }
 
 // Empty if the task can start.
-std::string Worker::reason_to_refuse(const TaskKey& key) const {
+std::string Worker::refusal_cause(const TaskKey& key) const {
   const Workload* workload = environment_.find_workload(key.job);
   if (workload == nullptr || key.index >= workload->tasks) return "no_such";
   const bool other_attempt =
       std::any_of(tasks_.begin(), tasks_.end(), [&](const Task& task) { return task.key == key; });
   if (other_attempt) return "busy";
-  if (free_cpus() + kCpuSlack < workload->cpus) return "no_room";
+  if (free_cpus() + kCpuTolerance < workload->cpus) return "no_room";
   return "";
 }
 
 void Worker::execute_stop(Task& task, double grace_s) {
   const Workload& workload = *environment_.find_workload(task.key.job);
-  const bool time_to_save =
+  const bool can_save =
       workload.checkpoint_s > 0 && workload.save_s > 0 && grace_s >= workload.save_s;
-  if (task.phase == Phase::kRunning && workload.is_gang()) stop_gang(task, time_to_save);
-  if (task.phase == Phase::kRunning && time_to_save) {
+  if (task.phase == Phase::kRunning && workload.is_gang()) stop_gang(task, can_save);
+  if (task.phase == Phase::kRunning && can_save) {
     task.progress += now_ - task.phase_since;
     task.phase = Phase::kSaving;
     task.phase_since = now_;
-    changed_ = true;
+    has_unreported_changes_ = true;
   } else if (task.phase != Phase::kSaving || grace_s == 0) {
-    exit(task, "stopped");
+    exit_task(task, "stopped");
   }
 }
 
-void Worker::stop_gang(const Task& task, bool time_to_save) {
+void Worker::stop_gang(const Task& task, bool can_save) {
   GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
   if (gang.first_stop_at < 0) {
     gang.first_stop_at = now_;
     gang.progress += now_ - gang.started_at;
   }
-  if (time_to_save)
-    gang.told_to_stop.insert(task.key.index);
+  if (can_save)
+    gang.stopped_with_grace.insert(task.key.index);
   else
-    gang.stopped_without_saving = true;
+    gang.is_stopped_without_saving = true;
 }
 
 }  // namespace standins
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -56,14 +56,14 @@
   // The machine is gone, with all that is on it.
   void kill();
 
-  bool wants_to_send_heartbeat(double now) const;
+  bool should_send_heartbeat(double now) const;
   // The body of a heartbeat to the current controller, which is under way from now on.
   std::string make_heartbeat(double now);
   // `answer` has status 0 if none came. `sent_at` and `sent_epoch` are those of the heartbeat.
-  void on_heartbeat_answer(double now, const HttpAnswer& answer, double sent_at,
+  void on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
                            uint64_t sent_epoch);
   // A controller's command or inspection.
-  HttpAnswer handle(double now, const HttpRequest& request);
+  HttpResponse handle_request(double now, const HttpRequest& request);
 
   double free_cpus() const;
   double free_memory_gb() const;
@@ -101,25 +101,25 @@
   void advance_gang_task(Task& task, const Workload& workload);
   bool wait_for_gang(Task& task, const GangAttempt& gang);
   bool save_with_gang(Task& task, const Workload& workload, GangAttempt& gang);
-  bool gang_is_broken(const Workload& workload, const GangAttempt& gang) const;
+  bool is_gang_broken(const Workload& workload, const GangAttempt& gang) const;
   void begin_after_fetch(Task& task, const Workload& workload);
   void join_gang(const Task& task, const Workload& workload);
   void leave_gang(const Task& task);
-  void exit(Task& task, const std::string& cause);
+  void exit_task(Task& task, const std::string& cause);
   void end_all_tasks();
 
   // Commands.
-  void execute(double now, const nlohmann::json& commands);
+  void execute_commands(double now, const nlohmann::json& commands);
   void execute_start(double now, const TaskKey& key, uint64_t attempt);
-  std::string reason_to_refuse(const TaskKey& key) const;
+  std::string refusal_cause(const TaskKey& key) const;
   void execute_stop(Task& task, double grace_s);
-  void stop_gang(const Task& task, bool time_to_save);
+  void stop_gang(const Task& task, bool can_save);
   std::vector<Task>::iterator find_task(const TaskKey& key, uint64_t attempt);
 
   std::string make_report(double now);
   void expire_lease(double now);
   void observe_fencing_token(uint64_t token);
-  void change_controller(const HttpAnswer& answer, double now);
+  void change_controller(const HttpResponse& response, double now);
 
   TypeSpec spec_;
   WorkerTimes times_;
@@ -131,7 +131,7 @@
   uint64_t fencing_token_ = 0;                   // the newest seen
   double last_token_change_ = -1e9;
   uint64_t report_sequence_ = 0;
-  bool changed_ = true;  // since the last heartbeat
+  bool has_unreported_changes_ = true;  // since the last heartbeat
   bool heartbeat_in_flight_ = false;
   double next_heartbeat_ = 0, next_heartbeat_allowed_ = 0;
 };
--- a/tests/standins/workload.h
+++ b/tests/standins/workload.h
@@ -35,9 +35,9 @@
   double task_lost_at = -1;    // when a task of the running gang disappeared
   double first_stop_at = -1;   // when the first of them was told to stop
   double progress = 0;         // seconds of work: when it started; then when it was stopped
-  std::set<int> told_to_stop;  // with time enough to save
+  std::set<int> stopped_with_grace;  // with time enough to save
   bool saved = false;
-  bool stopped_without_saving = false;  // one was told to stop with too little time
+  bool is_stopped_without_saving = false;  // one was told to stop with too little time
 };
 
 }  // namespace standins
--- a/tests/standins/world.cc
+++ b/tests/standins/world.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double kStep = 0.02;            // s, within which machines and checks do not move
-constexpr double kSlowCheckInterval = 1;  // s between looks at jobs that wait
+constexpr double kStepSeconds = 0.02;            // s, within which machines and checks do not move
+constexpr double kStarvationCheckIntervalSeconds = 1;  // s between looks at jobs that wait
 
 }  // namespace
 
@@ -27,10 +27,10 @@
       router_(simulation_, network_, cluster_, fleet_, store_, cloud_),
       rules_(simulation_, jobs_, teams_, ledger_, cloud_, options.cancel_s),
       users_(simulation_, cluster_, rules_, jobs_),
-      odd_requests_(simulation_, cluster_, users_, jobs_),
+      unexpected_requests_(simulation_, cluster_, users_, jobs_),
       faults_(simulation_, options_,
               {network_, cluster_, router_, store_, cloud_, fleet_, ledger_, jobs_, users_,
-               odd_requests_}),
+               unexpected_requests_}),
       starvation_check_(simulation_, jobs_, teams_, ledger_, fleet_),
       end_of_day_checks_(simulation_, jobs_, ledger_) {
   ledger_.add_observer(rules_);
@@ -41,12 +41,12 @@
   std::set<std::string> zones;
   for (const auto& type : cloud_.types) zones.insert(type.zones.begin(), type.zones.end());
   cluster_.start(make_settings(options_, {zones.begin(), zones.end()}, teams_),
-                 options_.first_version ? ControllerVersion::kFirst : ControllerVersion::kPresent,
+                 options_.first_version ? ControllerVersion::kFirst : ControllerVersion::kCurrent,
                  router_);
 }
 
 void World::run_until(double time) {
-  simulation_.events.run_until(time, kStep, [this] { step(); });
+  simulation_.events.run_until(time, kStepSeconds, [this] { step(); });
 }
 
 void World::step() {
@@ -54,8 +54,8 @@
   cloud_.tick(now());
   fleet_.step();
   rules_.check_cancelled_jobs();
-  if (now() < next_slow_checks_) return;
-  next_slow_checks_ = now() + kSlowCheckInterval;
+  if (now() < next_starvation_check_) return;
+  next_starvation_check_ = now() + kStarvationCheckIntervalSeconds;
   ledger_.record_gang_starts();
   starvation_check_.check(faults_.faults_end());
 }
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -11,7 +11,7 @@
 #include "standins/machine_fleet.h"
 #include "standins/message_router.h"
 #include "standins/network.h"
-#include "standins/odd_requests.h"
+#include "standins/unexpected_requests.h"
 #include "standins/rule_checker.h"
 #include "standins/simulation.h"
 #include "standins/starvation_check.h"
@@ -37,7 +37,7 @@
   void run_until(double time);
   void check_end_of_day() { end_of_day_checks_.run(faults_.faults_end()); }
 
-  size_t controllers() const { return options_.controllers; }
+  size_t controller_count() const { return options_.controllers; }
   double now() const { return simulation_.now(); }
   const std::vector<std::string>& violations() const { return simulation_.violations(); }
   const UserJobs& jobs() const { return jobs_; }
@@ -68,11 +68,11 @@
   MessageRouter router_;
   RuleChecker rules_;
   Users users_;
-  OddRequests odd_requests_;
+  UnexpectedRequests unexpected_requests_;
   FaultInjector faults_;
   StarvationCheck starvation_check_;
   EndOfDayChecks end_of_day_checks_;
-  double next_slow_checks_ = 0;
+  double next_starvation_check_ = 0;
 };
 
 }  // namespace standins
