--- a/tests/standins/fault_injector.cc
+++ b/tests/standins/fault_injector.cc
@@ -183,7 +183,7 @@
 // ---- users ---------------------------------------------------------------------------------
 
 void FaultInjector::cancel_running_jobs(int count, double hang_s) {
-  constexpr size_t kMaxHangingMachines = 8;  // machines
+  constexpr size_t kMaxHangingMachines = 8;
   constexpr double kCancelWindowSeconds = 0.2;    // s
   std::vector<std::string> running;
   for (const auto& [id, job] : targets_.jobs)
--- a/tests/standins/fault_injector.h
+++ b/tests/standins/fault_injector.h
@@ -1,4 +1,4 @@
-// Everything that can go wrong in a simulated deployment, each as one call.
+// Injects faults into a simulated deployment.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
 
 namespace standins {
 
-// The parts that faults strike.
+// The parts of the deployment that faults act on.
 struct FaultTargets {
   Network& network;
   ControllerCluster& cluster;
@@ -35,29 +35,33 @@
   UnexpectedRequests& unexpected_requests;
 };
 
-// Faults begin at once and end by themselves after `for_s` seconds. Counts of machines are those of
-// machines that the fault does not strike already; by name, in ascending order.
+// Each method starts a fault at once, or an upgrade or a change of limits. Faults with a `duration_s`
+// end by themselves after that many seconds. Methods with a `count` of machines choose the first
+// machines, in ascending order of name, that are alive and not already affected by the same fault.
 class FaultInjector {
  public:
   FaultInjector(Simulation& simulation, const WorldOptions& options, const FaultTargets& targets)
       : simulation_(simulation), options_(options), targets_(targets) {}
 
   // Controllers.
+  // Ends the process at once and restarts it after `downtime_s`.
   void crash(size_t controller, double downtime_s);
-  void upgrade(size_t controller, double downtime_s);    // restarts with the present version
+  void upgrade(size_t controller, double downtime_s);    // restarts with the current version
   void downgrade(size_t controller, double downtime_s);  // restarts with the first version
-  void freeze(size_t controller, double duration_s);      // executes nothing while its clocks run on
+  void freeze(size_t controller, double duration_s);      // stops execution; clocks continue
 
   // The network.
+  // Cuts a link of a controller.
   void cut(size_t controller, Link link, double duration_s, CutMode mode);
+  // Cuts machines, of one zone if `zone` is not empty, off from all controllers.
   void cut_machines(int count, double duration_s, CutMode mode, const std::string& zone = "");
-  // Cuts a zone off with its machines and one controller, which reach only one another.
+  // Isolates the machines of a zone together with one controller; they can reach only each other.
   void partition_zone(const std::string& zone, size_t controller, double duration_s, CutMode mode);
-  // Machines whose heartbeats arrive, while answers and commands to them are lost.
+  // Drops commands and responses to machines; their heartbeats arrive.
   void lose_machine_inbound(int count, double duration_s);
-  // Machines that cannot connect to a controller, while commands reach them.
+  // Prevents machines from connecting to controllers; commands reach them.
   void lose_machine_outbound(int count, double duration_s, const std::string& zone = "");
-  // Messages struck at random; see MessageFaults.
+  // Affect single messages with a probability; see MessageFaults.
   void lose_responses(double probability, double duration_s);
   void delay_requests(double probability, double max_delay_s, double duration_s);
   void delay_transactions(double probability, double max_delay_s, double duration_s);
@@ -65,37 +69,53 @@
   void duplicate_heartbeats(double probability, double max_delay_s, double duration_s);
 
   // The key-value store.
+  // Makes the store respond 503 to all requests.
   void store_outage(double duration_s);
+  // Delays each store request by a random time of up to `max_delay_s`.
   void slow_store(double max_delay_s, double duration_s);
+  // Makes the store respond 503 to all requests of one controller.
   void refuse_store_requests(size_t controller, double duration_s);
-  void apply_announced_store_limits();  // to those announced, if any; for good
+  // Replaces the store's limits permanently by the announced ones, if there are any.
+  void apply_announced_store_limits();
 
   // The cloud and its machines.
+  // Makes the cloud respond 503 to all requests.
   void cloud_outage(double duration_s);
-  void prevent_boots(int count);                        // so many of the next machines stay booting
-  void set_capacity(int machines);                   // of every type in each zone
-  void reclaim_spot(double share, double notice_s);  // at once if there is no notice
+  // Keeps the next `count` rented machines in the state `booting` forever.
+  void prevent_boots(int count);
+  // Sets the cloud's capacity for every machine type in each zone.
+  void set_capacity(int machines);
+  // Reclaims each spot machine with the probability `share`, `notice_s` after notice is given; at once
+  // if that is 0.
+  void reclaim_spot(double share, double notice_s);
+  // Suspends machines; they execute and send nothing.
   void hang_machines(int count, double duration_s);
-  void make_machines_faulty(int count);  // every task on them fails from now on
+  // Makes every task on the machines fail, permanently.
+  void make_machines_faulty(int count);
 
   // Users.
-  // Cancels so many running jobs at about the same time. Some of their machines hang meanwhile.
+  // Cancels up to `count` random running jobs at nearly the same time. If `hang_s` is not 0, some of
+  // their machines hang for that time.
   void cancel_running_jobs(int count, double hang_s);
+  // Makes users cancel jobs, with this probability, at the moment their last task completes.
   void cancel_on_completion(double probability, double duration_s);
+  // Sends invalid, repeated and misdirected user requests; see UnexpectedRequests.
   void send_unexpected_requests(double duration_s);
 
-  // When the last fault so far ends. Faults that the deployment has to absorb without any delay
-  // for users do not count: lost machines and what users do.
+  // Returns when the last fault injected so far ends. Faults that must not delay users' jobs, which
+  // are the loss of machines and user actions, are not included.
   double faults_end() const { return faults_end_; }
 
  private:
+  // Moves faults_end_ to `duration_s` from now, unless it is later already.
   void extend_faults_end(double duration_s);
-  // Delays some of the messages for a while, each by up to `up_to_s` seconds.
+  // Delays messages with this probability, each by up to `max_delay_s`, for `duration_s`.
   void delay_temporarily(RandomDelay& delay, double probability, double max_delay_s, double duration_s);
-  // Sets the value, and back to 0 after `for_s`.
+  // Sets the value to `to`, and to 0 after `duration_s`.
   void set_temporarily(double& value, double to, double duration_s);
-  // Offers machines that are alive until so many were struck: `strike` says whether it did.
+  // Calls `apply` on machines that are alive, by name, until it has returned true `count` times.
   void apply_to_machines(int count, const std::function<bool(Worker&)>& apply);
+  // Returns machines that run tasks of the jobs, about `limit` at most.
   std::set<std::string> machines_of_jobs(const std::vector<std::string>& jobs, size_t limit) const;
 
   Simulation& simulation_;
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Labels are "c0", "c1" and so on.
+// Returns the index of a controller from its label: "c0", "c1", etc.
 size_t index_of(const std::string& label) { return std::stoul(label.substr(1)); }
 
 bool is_readable_by_first_version(const std::string& bytes) {
@@ -61,7 +61,7 @@
       });
 }
 
-// Only the first answer counts, and only for the process that made the call.
+// Later responses are ignored, as are responses to a process that has been restarted since.
 MessageRouter::ResponseHandler MessageRouter::respond_once(size_t from, uint64_t call_id) {
   return [this, from, call_id, generation = cluster_.generation(from),
           answered = std::make_shared<bool>(false)](const HttpResponse& response) {
--- a/tests/standins/network.h
+++ b/tests/standins/network.h
@@ -11,85 +11,91 @@
 
 namespace standins {
 
-// The connections of a controller that can fail separately.
+// The connections of a controller that faults can cut separately.
 enum class Link { kStore, kCloud, kWorkers, kPeers, kAll };
 
 // What happens to packets while a link is cut.
 enum class CutMode {
-  kDrop,  // lost
-  kHold,  // delivered when the cut ends
+  kDrop,  // they are dropped
+  kHold,  // they are delivered when the cut ends
 };
 
+// An interruption of a link.
 struct Cut {
-  double until = 0;
+  double until = 0;  // when it ends, in simulated time
   CutMode mode = CutMode::kDrop;
+  // Returns whether the cut is in effect at `now`.
   bool is_active(double now) const { return until > now; }
 };
 
-// The network state of one machine.
+// The network faults of one machine. Times are when a fault ends.
 struct MachineLink {
   std::string zone;
-  Cut cut;                         // both directions
-  double inbound_lost_until = 0;   // commands and answers to it are lost, its heartbeats arrive
-  double outbound_lost_until = 0;  // it cannot open connections, commands and their answers pass
+  Cut cut;                         // affects both directions
+  double inbound_lost_until = 0;   // commands and responses to it are dropped, its heartbeats arrive
+  double outbound_lost_until = 0;  // it cannot open connections, commands and their responses arrive
 };
 
-// Delays a message with this probability by a uniformly drawn time.
+// Delays a message with the given probability by a time drawn uniformly from 0 to max_delay_s.
 struct RandomDelay {
   double probability = 0;
   double max_delay_s = 0;
 };
 
-// Faults that strike single messages at random. All are off at first.
+// Faults that affect single messages at random. All are initially off.
 struct MessageFaults {
-  double lost_response_probability = 0;     // of calls by controllers: executed, but the answer is lost
-  RandomDelay delayed_requests;         // to the store and to workers
-  RandomDelay delayed_transactions;     // executed late, after newer ones, and never answered
-  RandomDelay delayed_commands;         // to workers, while heartbeats and answers pass
-  RandomDelay duplicate_heartbeats;  // a copy arrives late, at any controller
-  double max_store_delay_s = 0;          // each request to the store takes up to so long
+  double lost_response_probability = 0;     // of controllers' calls: executed, but the response is dropped
+  RandomDelay delayed_requests;         // calls to the store and to workers
+  RandomDelay delayed_transactions;     // store transactions: executed late, after newer ones; response dropped
+  RandomDelay delayed_commands;         // commands to workers; heartbeats and their responses are not delayed
+  RandomDelay duplicate_heartbeats;  // a copy arrives late at a random controller
+  double max_store_delay_s = 0;          // upper limit of the delay added to each store request
 };
 
-// What becomes of a call.
+// The arrival of a call that is not dropped.
 struct Delivery {
-  double at = 0;
-  bool is_response_lost = false;
+  double at = 0;  // when it arrives
+  bool is_response_lost = false;  // the call is executed, but its response is dropped
 };
 
-// What becomes of a heartbeat.
+// What happens to a heartbeat.
 struct HeartbeatRoute {
   enum class Disposition { kDelivered, kDelayed, kLost } disposition = Disposition::kDelivered;
-  double delayed_until = 0;  // for kHeld
+  double delayed_until = 0;  // for kDelayed
 };
 
-// Decides for each message whether and when it arrives. Delivering it is up to the caller.
+// Determines for each message whether and when it arrives, applying the current network faults. The
+// caller delivers the message.
 class Network {
  public:
-  static constexpr double kMinTransactionDelaySeconds = 1;  // s, of late transactions
+  static constexpr double kMinTransactionDelaySeconds = 1;  // of delayed transactions
 
   explicit Network(Simulation& simulation) : simulation_(simulation) {}
 
-  // One way between two processes, in seconds. One draw.
+  // Draws the one-way latency between two processes, in seconds. Uses one random number.
   double latency();
 
-  // Messages to machines that are unknown, or removed, are lost.
+  // Adds or removes a machine. Messages to machines that are not present are dropped.
   void add_machine(const std::string& name, const std::string& zone);
   void remove_machine(const std::string& name) { machines_.erase(name); }
-  // Of a machine that is not removed.
+  // Returns the faults of a machine that is present, for modification.
   MachineLink& machine(const std::string& name) { return machines_.at(name); }
+  // Returns the faults of single messages, for modification.
   MessageFaults& message_faults() { return message_faults_; }
 
-  // Replaces the link's earlier cut.
+  // Cuts a controller's link, replacing an earlier cut of the same link.
   void cut_controller(size_t controller, Link link, const Cut& cut);
-  // Until then the zone's machines and this controller reach one another whatever else is cut.
+  // Exempts traffic between the zone's machines and this controller from all cuts until `until`. The
+  // cuts that isolate both from the rest are set separately; see FaultInjector::partition_zone().
   void partition_zone(const std::string& zone, size_t controller, double until);
 
-  // When a message to another controller arrives; nothing if it is lost.
+  // Returns when a message to another controller arrives, or nullopt if it is dropped.
   std::optional<double> route_to_peer(size_t from, size_t to);
-  // When a call reaches the store, the cloud or a worker; nothing if it is lost.
+  // Returns the arrival of a call to the store, the cloud or a worker, or nullopt if it is dropped.
   std::optional<Delivery> route_call(size_t from, const rooksill::runtime::Call& call);
+  // Returns whether and when a heartbeat of the machine reaches the controller.
   HeartbeatRoute route_heartbeat(const std::string& machine, size_t controller) const;
-  // Whether the machine misses the answer to a heartbeat that arrives now.
+  // Returns whether the response to a heartbeat that arrives at the controller now is dropped.
   bool loses_responses(const std::string& machine, size_t controller) const;
 
  private:
@@ -99,11 +105,14 @@
     double until = 0;
   };
 
-  // The cut that separates the controller from all that the link leads to, if there is one.
+  // Returns the active cut of the controller's link, or of all its links; null if there is none.
   const Cut* active_cut(size_t controller, Link link) const;
+  // Returns whether the machine and the controller are on the same side of an active zone partition.
   bool is_in_same_partition(const MachineLink& machine, size_t controller) const;
+  // Return when a call that would arrive at `at` arrives given the cuts, or nullopt if it is dropped.
   std::optional<double> arrival_after_cuts(size_t from, const rooksill::runtime::Call& call, double at);
   std::optional<double> arrival_after_machine_cut(size_t from, const MachineLink& machine, double at);
+  // Draws delays and the loss of the response. The order of the draws determines a seed's run.
   void apply_message_faults(const rooksill::runtime::Call& call, Delivery& delivery);
 
   Simulation& simulation_;
--- a/tests/standins/world.cc
+++ b/tests/standins/world.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double kStepSeconds = 0.02;            // s, within which machines and checks do not move
-constexpr double kStarvationCheckIntervalSeconds = 1;  // s between looks at jobs that wait
+constexpr double kStepSeconds = 0.02;            // between steps of machines and checks
+constexpr double kStarvationCheckIntervalSeconds = 1;  
 
 }  // namespace
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -1,4 +1,5 @@
-// A simulated deployment: real controller cores against stand-ins for all that surrounds them.
+// A simulated deployment: the production controller cores, connected to simulated workers, users,
+// cloud, key-value store and network. Scenarios run against it.
 #pragma once
 
 #include <string>
@@ -22,26 +23,36 @@
 
 namespace standins {
 
-// Composes the parts and advances them together. The same options, calls and seed give the same
-// run, draw by draw.
+// Owns all parts of the deployment and advances them together. A run is deterministic: the same
+// options, calls and seed give the same sequence of random numbers and the same events.
 //
-// Usage: add types and teams, start(), schedule what is to happen with events(), run_until(),
-// check_end_of_day(), then look at violations() and those of the store.
+// Usage: add machine types and teams, call start(), schedule faults and user actions through
+// events(), call run_until() and check_end_of_day(), then read violations() and the store's
+// violations().
 class World {
  public:
   explicit World(const WorldOptions& options);
 
+  // Adds a machine type that the cloud offers. Call before start().
   void add_type(const TypeSpec& type) { cloud_.types.push_back(type); }
+  // Adds a team with its CPU quota. Call before start().
   void add_team(const std::string& name, const TeamQuota& quota) { teams_[name] = quota; }
+  // Starts all controllers with settings made from the options, the types' zones and the teams.
   void start();
+  // Advances the simulation to `time`, in seconds since the start of the run.
   void run_until(double time);
+  // Runs the checks that apply once the run is over; see EndOfDayChecks.
   void check_end_of_day() { end_of_day_checks_.run(faults_.faults_end()); }
 
   size_t controller_count() const { return options_.controllers; }
+  // Returns the simulated time in seconds.
   double now() const { return simulation_.now(); }
+  // Returns the violated rules, except those found by the key-value store.
   const std::vector<std::string>& violations() const { return simulation_.violations(); }
+  // Returns all jobs that users have submitted, by ID.
   const UserJobs& jobs() const { return jobs_; }
 
+  // Access to the parts, for scenario actions and expectations.
   Simulation& simulation() { return simulation_; }
   EventQueue& events() { return simulation_.events; }
   FaultInjector& faults() { return faults_; }
@@ -53,6 +64,7 @@
   const MessageRouter& router() const { return router_; }
 
  private:
+  // Advances the time-driven parts and runs the periodic checks; called after each time step.
   void step();
 
   const WorldOptions options_;
--- a/tests/standins/world_options.h
+++ b/tests/standins/world_options.h
@@ -1,4 +1,4 @@
-// The figures of a simulated deployment.
+// Options of a simulated deployment.
 #pragma once
 
 #include <cstddef>
@@ -7,27 +7,29 @@
 
 namespace standins {
 
-// Limits that the key-value store enforces.
+// Limits that the key-value store enforces or checks.
 struct StoreLimits {
   double writes_per_s = 90;
-  size_t transaction_writes = 32;
-  size_t value_bytes = 8192;
+  size_t transaction_writes = 32;  // maximum number of writes in one transaction
+  size_t value_bytes = 8192;       // maximum size of one value
 };
 
 struct WorldOptions {
-  size_t controllers = 3;
-  double heartbeat_s = 1, lease_s = 8;  // of workers
-  double cancel_s = 15;                 // from the answer `cancelled` until no task runs any more
-  double gang_wait_s = 12, gang_peer_s = 2;
-  double store_requests_per_s = 300;
+  size_t controllers = 3;   // number of controllers
+  double heartbeat_s = 1;   // interval of worker heartbeats
+  double lease_s = 8;       // lease of a worker; it ends all its tasks when the lease expires
+  double cancel_s = 15;     // limit from the response `withdrawn` until no task of the job runs
+  double gang_wait_s = 12;  // time a gang task waits for the other tasks of its gang to be ready
+  double gang_peer_s = 2;   // time within which gang tasks notice the loss or stop of another task
+  double store_requests_per_s = 300;  // request rate above which the store responds 429
   StoreLimits store_limits;
-  // The lower limits that the store has announced, if it has.
+  // The limits that the store has announced to apply later, lower than store_limits, if any.
   std::optional<StoreLimits> announced_store_limits;
-  double cloud_requests_per_s = 5;
-  double cloud_list_lag_s = 3;  // how old the cloud's list of machines may be
+  double cloud_requests_per_s = 5;  // request rate above which the cloud responds 429
+  double cloud_list_lag_s = 3;  // maximum age of the machine list that the cloud returns
   uint64_t seed = 1;
-  bool verbose = false;        // print the controllers' logs
-  bool first_version = false;  // the controllers start with the version before upgrade records
+  bool verbose = false;        // print the controllers' logs to stderr
+  bool first_version = false;  // start all controllers with the first version, which predates upgrade records
 };
 
 }  // namespace standins
