--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr size_t kMaxPageEntries = 500;           // entries, by the protocol
-constexpr double kSnapshotIntervalSeconds = 0.2;  // s between two states of the list
-constexpr double kBurstSeconds = 2;        // the request budget holds so many seconds' requests
+constexpr size_t kMaxPageEntries = 500;           // maximum that the protocol allows
+constexpr double kSnapshotIntervalSeconds = 0.2;  // between snapshots of the machine list
+constexpr double kBurstSeconds = 2;        // the request budget holds the requests of this time
 constexpr double kNeverSeconds = 1e18;
 constexpr size_t kNameDigits = 6;
 
-// Empty if there is no such parameter.
+// Returns the value of a query parameter, or an empty string if it is missing.
 std::string query_parameter(const std::string& target, const std::string& name) {
   const auto found = target.find(name + "=");
   if (found == std::string::npos) return "";
@@ -159,7 +159,7 @@
   machine.zone = zone;
   machine.spot = spot;
   machine.rented_at = now;
-  // Boot times differ a little from machine to machine.
+  // Boot times vary between machines, from 0.6 to 1.4 of the type's boot time.
   machine.boots_at =
       boots_to_prevent > 0 ? kNeverSeconds : now + type.boot_s * (0.6 + 0.1 * (next_machine_ % 9));
   if (boots_to_prevent > 0) --boots_to_prevent;
--- a/tests/standins/key_value_store.cc
+++ b/tests/standins/key_value_store.cc
@@ -12,8 +12,8 @@
 
 constexpr size_t kDefaultPageEntries = 1000;
 constexpr size_t kMaxTransactionBytes = size_t{64} * 1024;
-constexpr size_t kGuardsPerWrite = 4;  // a transaction may have so many guards for each write
-constexpr size_t kMaxKeyBytes = 200;        // bytes
+constexpr size_t kGuardsPerWrite = 4;  // limit of guards, per write that the limits allow
+constexpr size_t kMaxKeyBytes = 200;
 constexpr char kUpgradeRecord[] = "rk/upgrade";
 constexpr char kStorePath[] = "/store/";
 constexpr char kLeasePath[] = "/grants/";
@@ -177,7 +177,8 @@
   if (body.size() > kMaxTransactionBytes) violations_.push_back("transaction too large");
 }
 
-// The keys that are not at the revision that the transaction expects; 0: does not exist.
+// Returns the keys whose revision differs from the one that the transaction expects. The revision of a
+// key that does not exist is 0.
 json KeyValueStore::failed_guards(const json& guards) const {
   json failed = json::array();
   for (const auto& guard : guards) {
@@ -201,7 +202,7 @@
 
 void KeyValueStore::check_put(const std::string& key, const json& value) {
   if (value.dump().size() > limits_.value_bytes) violations_.push_back("value too large: " + key);
-  // Before all controllers have the present version, one of the first version may read it.
+  // Until all controllers have the current version, one of the first version may read the value.
   if (!has_upgrade_record() && !is_ignored_by_first_version(key)) {
     const std::string unknown = unknown_to_first_version(key, value);
     if (!unknown.empty()) violations_.push_back("unknown to the first version: " + unknown);
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr double kQuotaToleranceCpus = 1e-6;  // CPUs, for sums of fractions
-// What the protocol requires of a submission.
+constexpr double kQuotaToleranceCpus = 1e-6;  // for rounding errors of sums
+// The fields that the protocol requires in a submission.
 constexpr const char* kRequiredFields[] = {"id",       "flock",  "owner",     "shape",  "rank",
                                            "pieces",   "cores",  "memory_gb", "bundle", "size_gb",
                                            "together", "spread", "loaners",   "guess_s"};
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// ---- answers to users ----------------------------------------------------------------------
+// ---- responses to users --------------------------------------------------------------------
 
 void RuleChecker::check_submit_response(const UserJob& job, const HttpResponse& response) {
   const bool rejected = response.status == 400 || response.status == 422;
@@ -34,7 +34,7 @@
   if (rejected && job.is_accepted())
     simulation_.add_violation("forgotten: " + job.id() + " answered " + std::to_string(response.status));
   if (accepted && !can_run(job))
-    simulation_.add_violation("accepted though it cannot run or lacks a field: " + job.id());
+    simulation_.add_violation("accepted a job that cannot run or lacks a required field: " + job.id());
   if (response.status == 503 && response.retry_after_s <= 0)
     simulation_.add_violation("503 without Retry-After for " + job.id());
 }
@@ -45,7 +45,7 @@
   if (response.status != 200 && response.status != 201) return Outcome::kNone;
   const json body = json::parse(response.body, nullptr, false);
   if (!body.is_object()) {
-    simulation_.add_violation("malformed answer for " + job.id());
+    simulation_.add_violation("malformed response for " + job.id());
     return Outcome::kNone;
   }
   const auto status = body.value("status", "");
@@ -68,7 +68,7 @@
   auto team = teams_.find(job.team);
   if (team == teams_.end()) return false;
   const double max = team->second.cpus_max;
-  // An array can run task by task; the other shapes only whole.
+  // The tasks of an array can run one after another; those of the other shapes run all at once.
   const int tasks_at_once = job.workload.shape == Shape::kArray ? 1 : job.workload.tasks;
   if (max > 0 && job.workload.cpus * tasks_at_once > max) return false;
   return std::any_of(cloud_.types.begin(), cloud_.types.end(),
--- a/tests/standins/users.cc
+++ b/tests/standins/users.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr double kSubmitTimeoutSeconds = 60;      // s until a user gives up
-constexpr double kRequestTimeoutSeconds = 5;  // s
-constexpr double kPollTimeoutSeconds = 2;     // s
-constexpr double kRetryIntervalSeconds = 1;   // s, unless the answer asks for more
-constexpr double kPollIntervalSeconds = 1, kFinalPollIntervalSeconds = 7;  // s
+constexpr double kSubmitTimeoutSeconds = 60;      // until a user stops trying to submit a job
+constexpr double kRequestTimeoutSeconds = 5;
+constexpr double kPollTimeoutSeconds = 2;
+constexpr double kRetryIntervalSeconds = 1;   // unless the response has a longer Retry-After
+constexpr double kPollIntervalSeconds = 1, kFinalPollIntervalSeconds = 7;  // before and after the final status
 
 }  // namespace
 
@@ -71,7 +71,7 @@
   const bool had_final_status = jobs_.at(job_id).has_final_status();
   cluster_.request(controller, {"GET", "/api/jobs/" + job_id, ""}, kPollTimeoutSeconds,
                    [this, job_id, had_final_status](const HttpResponse& response) {
-                     // An answer to a question from before the final status may be older.
+                     // A response to a request sent before the final status was known may be stale.
                      if (had_final_status || !jobs_.at(job_id).has_final_status())
                        process_response(job_id, response, true);
                    });
--- a/tests/standins/users.h
+++ b/tests/standins/users.h
@@ -1,4 +1,4 @@
-// Simulated users: they submit jobs and cancel them, retry, and poll for the jobs' status.
+// Simulated users, who submit and cancel jobs, retry failed requests and poll the status of jobs.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,31 @@
 
 namespace standins {
 
+// Sends requests to random controllers and has the rule checker check the responses.
 class Users : public TaskObserver {
  public:
   Users(Simulation& simulation, ControllerCluster& cluster, RuleChecker& rules, UserJobs& jobs)
       : simulation_(simulation), cluster_(cluster), rules_(rules), jobs_(jobs) {}
 
-  // Submits until the job is accepted or rejected, for a minute at most; polls it from then on.
+  // Submits a job, with retries for up to a minute until it is accepted or rejected. Polls its status
+  // once it is accepted.
   void submit(UserJob job);
-  // Asks for the job's cancellation until that is acknowledged.
+  // Requests the job's cancellation, with retries until it is acknowledged.
   void cancel(const std::string& job_id);
-  // Takes in what a controller says about the job; the answer is checked. `is_poll`: the answer to
-  // a question, not to a submission or cancellation.
+  // Checks a response that reports the job's status and updates the user's view of the job. `is_poll`
+  // is true for the response to a status request, false for that to a submission or cancellation.
   void process_response(const std::string& job_id, const HttpResponse& response, bool is_poll);
-  // From now on users cancel a job, with this probability, at the moment its last task completes.
+  // Makes users cancel each job, with this probability, at the moment its last task completes.
   void set_cancel_on_completion(double probability) { cancel_on_completion_ = probability; }
 
-  // Sends a request that is not repeated.
+  // Sends a request without retries.
   void request(size_t controller, HttpRequest request,
                const ControllerCluster::ResponseHandler& on_response);
 
+  // Returns whether each job has a final status, was rejected, or was not accepted within the time limit.
   bool are_all_jobs_finished() const;
 
+  // Cancels the job with the probability set by set_cancel_on_completion().
   void on_job_done(const std::string& job_id) override;
 
  private:
@@ -41,6 +45,7 @@
   void on_submit_response(const std::string& job_id, const HttpResponse& response, bool had_final_status);
   void try_cancel(const std::string& job_id);
   void poll(const std::string& job_id);
+  // Calls `action` with the job's ID after a delay.
   void retry_after(double delay_s, void (Users::*action)(const std::string&),
                    const std::string& job_id);
 
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double kMinHeartbeatIntervalSeconds = 0.5;  // s between heartbeats caused by changes
-constexpr double kRedirectDelaySeconds = 0.1;         // s until the heartbeat to the controller named
-constexpr double kRetryDelaySeconds = 1;              // s until the next controller is tried
-constexpr double kFailureSeconds = 0.3;           // s until a task that fails exits
-constexpr double kCpuTolerance = 1e-9;             // for sums of fractions
+constexpr double kMinHeartbeatIntervalSeconds = 0.5;  // between heartbeats caused by changes
+constexpr double kRedirectDelaySeconds = 0.1;         // until the heartbeat to the controller named in a response
+constexpr double kRetryDelaySeconds = 1;              // until a heartbeat to the next controller
+constexpr double kFailureSeconds = 0.3;           // until a failing task exits
+constexpr double kCpuTolerance = 1e-9;             // for rounding errors of sums
 
 TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
@@ -123,7 +123,6 @@
   exit_task(task, "done");
 }
 
-// Whether the gang has started, so that the task is past waiting.
 bool Worker::wait_for_gang(Task& task, const GangAttempt& gang) {
   if (task.phase != Phase::kWaitingForGang) return true;
   if (gang.started_at >= 0) {
@@ -135,7 +134,8 @@
   return false;
 }
 
-// A gang saves all together or not at all. Whether the task has saved and exited.
+// The tasks of a gang save their progress together or not at all: one that was not stopped in time, or
+// was lost, prevents it.
 bool Worker::save_with_gang(Task& task, const Workload& workload, GangAttempt& gang) {
   if (task.phase != Phase::kSaving || now_ - task.phase_since < workload.save_s) return false;
   const bool all_told = static_cast<int>(gang.stopped_with_grace.size()) == workload.tasks;
@@ -148,8 +148,8 @@
   return true;
 }
 
-// Whether the others have noticed, which takes them a while, that a task was lost or that not all
-// were told to stop in time.
+// Other tasks notice with a delay that a task was lost, or that not all tasks were stopped with enough
+// time to save.
 bool Worker::is_gang_broken(const Workload& workload, const GangAttempt& gang) const {
   if (gang.saved) return false;
   if (gang.task_lost_at >= 0 && now_ - gang.task_lost_at > times_.gang_peer_s / 2) return true;
@@ -165,8 +165,8 @@
   gang.progress = task.progress;
 }
 
-// A task of a running gang that disappears takes the others with it; one of a gang that has not
-// started yet can be replaced.
+// The loss of a task ends the attempt of a gang that has started; in a gang that has not started, the
+// task can be replaced.
 void Worker::leave_gang(const Task& task) {
   const Workload* workload = environment_.find_workload(task.key.job);
   if (workload == nullptr || !workload->is_gang()) return;
@@ -270,13 +270,12 @@
   if (response.status != 200 || !body.is_object()) return change_controller(response, now);
   if (sent_epoch != agent_epoch) return;
   const uint64_t token = body.value("baton", uint64_t{0});
-  if (token < fencing_token_) return;  // dropped: neither executed nor renewing
+  if (token < fencing_token_) return;  // stale: commands are dropped and the lease is not renewed
   observe_fencing_token(token);
   lease_renewed_at_ = sent_at;
   execute_commands(now, body.value("orders", json()));
 }
 
-// To the one that the answer names; to the next if it names none.
 void Worker::change_controller(const HttpResponse& response, double now) {
   const json body = json::parse(response.body, nullptr, false);
   if (response.status == 421 && body.is_object() && body.contains("steward")) {
@@ -293,7 +292,8 @@
   next_heartbeat_ = next_heartbeat_allowed_ = now + kRetryDelaySeconds;
 }
 
-// A heartbeat follows at once if the token changed, but not at each of many changes in a row.
+// A new token causes an immediate heartbeat, but at most one in half a lease, so that frequent changes
+// of the token do not cause a heartbeat each.
 void Worker::observe_fencing_token(uint64_t token) {
   if (token <= fencing_token_) return;
   fencing_token_ = token;
@@ -352,7 +352,6 @@
   has_unreported_changes_ = true;
 }
 
-// Empty if the task can start.
 std::string Worker::refusal_cause(const TaskKey& key) const {
   const Workload* workload = environment_.find_workload(key.job);
   if (workload == nullptr || key.index >= workload->tasks) return "no_such";
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -1,4 +1,4 @@
-// Stand-in for the worker agent of a machine, written from the protocol.
+// A simulated worker agent of a machine, implemented from the protocol specification.
 #pragma once
 
 #include <cstddef>
@@ -17,66 +17,76 @@
 
 class Worker;
 
-// What a worker shares with the rest of the deployment: the jobs' specifications, results and saved
-// progress, and what a gang's tasks know of one another.
+// Gives a worker access to what it shares with the rest of the deployment: workloads of jobs, results,
+// saved progress, and the state of gangs.
 class WorkerEnvironment {
  public:
   virtual ~WorkerEnvironment() = default;
-  // Null if there is no such job.
+  // Returns the workload of a job, or null if the job does not exist.
   virtual const Workload* find_workload(const std::string& job) const = 0;
-  // The task is on the machine from now on; and no longer.
+  // Record that a task starts to occupy the machine, and that it no longer does.
   virtual void task_started(const Worker& worker, const TaskKey& task, uint64_t attempt) = 0;
   virtual void task_ended(const Worker& worker, const TaskKey& task) = 0;
-  // Whether the task's result is stored; and stores it.
+  // Returns whether the task's result is stored.
   virtual bool is_completed(const TaskKey& task) const = 0;
+  // Stores the task's result.
   virtual void complete(const TaskKey& task) = 0;
-  // Seconds of work that a new attempt need not repeat. Saving less than before changes nothing.
+  // Returns the saved progress, in seconds of work that a new attempt need not repeat.
   virtual double saved_progress(const TaskKey& task) const = 0;
+  // Saves progress. Less progress than already saved is ignored.
   virtual void save_progress(const TaskKey& task, double progress_s) = 0;
+  // Returns the shared state of the task's gang in this attempt, creating it if necessary.
   virtual GangAttempt& gang_attempt(const TaskKey& task, uint64_t attempt) = 0;
 };
 
-// The protocol's times, in seconds.
+// The time limits and intervals of the protocol.
 struct WorkerTimes {
   double heartbeat_s = 1, lease_s = 8;
-  double gang_wait_s = 20;  // how long a gang's task waits for the others
-  double gang_peer_s = 2;   // within which a gang's tasks notice what happens to the others
+  double gang_wait_s = 20;  // time a gang task waits for the others to be ready
+  double gang_peer_s = 2;   // time within which gang tasks notice a loss or stop of another
 };
 
-// A worker acts on commands with its agent epoch and a fencing token that is not older than the
-// newest it has seen. It ends all its tasks, and begins a new epoch, when its lease expires.
+// Runs simulated tasks on a machine, sends heartbeats and executes commands. It executes only commands
+// that carry its agent epoch and a fencing token at least as high as the highest it has seen. When its
+// lease expires, it ends all its tasks and starts a new agent epoch.
 class Worker {
  public:
   // `environment` outlives the worker.
   Worker(const CloudMachine& machine, const TypeSpec& type, const WorkerTimes& times,
          WorkerEnvironment& environment);
 
-  // Moves all tasks on to `now`; the lease may expire meanwhile. To be called before the others.
+  // Advances all tasks to `now` and checks the lease. Call before the other methods.
   void advance(double now);
-  // The machine is gone, with all that is on it.
+  // Ends the worker and all its tasks because the machine has been terminated.
   void kill();
 
+  // Returns whether a heartbeat is due.
   bool should_send_heartbeat(double now) const;
-  // The body of a heartbeat to the current controller, which is under way from now on.
+  // Returns the body of a heartbeat to the current controller and marks it as in flight.
   std::string make_heartbeat(double now);
-  // `answer` has status 0 if none came. `sent_at` and `sent_epoch` are those of the heartbeat.
+  // Processes the response to a heartbeat: renews the lease and executes commands, or switches to
+  // another controller. `response` has status 0 if none was received. `sent_at` and `sent_epoch` are
+  // the time and the agent epoch at which the heartbeat was sent.
   void on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
                            uint64_t sent_epoch);
-  // A controller's command or inspection.
+  // Returns the response to a controller's commands or inspection.
   HttpResponse handle_request(double now, const HttpRequest& request);
 
+  // Return the capacity that is not used by tasks.
   double free_cpus() const;
   double free_memory_gb() const;
+  // Returns when advance() was first called.
   double booted_at() const { return booted_at_; }
 
   const std::string name, address, type, zone;
   const bool spot;
-  std::vector<std::string> controllers;  // labels
-  size_t current_controller = 0;         // the one that heartbeats go to
-  bool dead = false, hanging = false;
+  std::vector<std::string> controllers;  // labels of all controllers
+  size_t current_controller = 0;         // index of the one that receives the heartbeats
+  bool dead = false;                 // the machine has been terminated
+  bool hanging = false;              // executes and sends nothing; its lease may expire
   bool faulty = false;               // every task fails
-  std::optional<double> reclaim_at;  // the cloud has given notice for this time
-  uint64_t agent_epoch = 1;
+  std::optional<double> reclaim_at;  // when the cloud takes the machine back, if it gave notice
+  uint64_t agent_epoch = 1;  // raised each time the lease expires
 
  private:
   enum class Phase { kFetching, kWaitingForGang, kRunning, kSaving, kExited };
@@ -86,10 +96,11 @@
     uint64_t attempt = 0;
     Phase phase = Phase::kFetching;
     std::string exit_cause;
-    bool saved = false;      // its progress, when it was stopped
-    double phase_since = 0;  // of kRunning and kSaving; of kFetching: since the command
+    bool saved = false;      // its progress was saved when it was stopped
+    double phase_since = 0;  // start of the current phase; of kFetching: the start command
     double progress = 0;     // seconds of work at phase_since
-    // Holds the task's place in the rules: it runs, or could do so any moment.
+    // Returns whether the task counts as on the machine for the protocol's rules: it runs, or may start
+    // to run at any moment.
     bool is_on_machine() const { return phase != Phase::kFetching && phase != Phase::kExited; }
   };
 
@@ -99,8 +110,12 @@
   void advance_task(Task& task, const Workload& workload);
   void advance_array_task(Task& task, const Workload& workload);
   void advance_gang_task(Task& task, const Workload& workload);
+  // Returns whether the gang has started. Otherwise the task waits, or exits after gang_wait_s.
   bool wait_for_gang(Task& task, const GangAttempt& gang);
+  // Saves the progress of a stopped gang and exits, if the whole gang can be saved. Returns whether the
+  // task has exited.
   bool save_with_gang(Task& task, const Workload& workload, GangAttempt& gang);
+  // Returns whether the task has to exit because another task was lost or not stopped in time.
   bool is_gang_broken(const Workload& workload, const GangAttempt& gang) const;
   void begin_after_fetch(Task& task, const Workload& workload);
   void join_gang(const Task& task, const Workload& workload);
@@ -111,27 +126,30 @@
   // Commands.
   void execute_commands(double now, const nlohmann::json& commands);
   void execute_start(double now, const TaskKey& key, uint64_t attempt);
+  // Returns the exit cause of a task that cannot start, or an empty string if it can.
   std::string refusal_cause(const TaskKey& key) const;
   void execute_stop(Task& task, double grace_s);
   void stop_gang(const Task& task, bool can_save);
   std::vector<Task>::iterator find_task(const TaskKey& key, uint64_t attempt);
 
+  // Returns the body of a heartbeat or of the response to a command or inspection.
   std::string make_report(double now);
   void expire_lease(double now);
   void observe_fencing_token(uint64_t token);
+  // Sends the next heartbeat to the controller that the response names, or to the next in the list.
   void change_controller(const HttpResponse& response, double now);
 
   TypeSpec spec_;
   WorkerTimes times_;
   WorkerEnvironment& environment_;
   std::vector<Task> tasks_;
-  std::set<std::string> images_;  // fetched
+  std::set<std::string> images_;  // container images that have been fetched
   double now_ = 0;
-  double booted_at_ = 0, lease_renewed_at_ = 0;  // 0: not yet
-  uint64_t fencing_token_ = 0;                   // the newest seen
+  double booted_at_ = 0, lease_renewed_at_ = 0;  // 0: never
+  uint64_t fencing_token_ = 0;                   // the highest seen
   double last_token_change_ = -1e9;
   uint64_t report_sequence_ = 0;
-  bool has_unreported_changes_ = true;  // since the last heartbeat
+  bool has_unreported_changes_ = true;  // a heartbeat is due early
   bool heartbeat_in_flight_ = false;
   double next_heartbeat_ = 0, next_heartbeat_allowed_ = 0;
 };
