--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -10,7 +10,7 @@
 
 constexpr size_t kMaxPageEntries = 500;           // maximum that the protocol allows
 constexpr double kSnapshotIntervalSeconds = 0.2;  // between snapshots of the machine list
-constexpr double kBurstSeconds = 2;        // the request budget holds the requests of this time
+constexpr double kBurstSeconds = 2;  // the request budget holds the requests of this time
 constexpr double kNeverSeconds = 1e18;
 constexpr size_t kNameDigits = 6;
 
@@ -22,7 +22,9 @@
   return target.substr(begin, target.find('&', begin) - begin);
 }
 
-const char* wire_status(const CloudMachine& machine) { return machine.is_booted ? "running" : "booting"; }
+const char* wire_status(const CloudMachine& machine) {
+  return machine.is_booted ? "running" : "booting";
+}
 
 }  // namespace
 
@@ -99,7 +101,8 @@
 HttpResponse Cloud::list_page(const std::string& target) const {
   const std::string after = query_parameter(target, "from");
   const std::string limit = query_parameter(target, "most");
-  const size_t size = limit.empty() ? kMaxPageEntries : std::min(kMaxPageEntries, size_t{std::stoul(limit)});
+  const size_t size =
+      limit.empty() ? kMaxPageEntries : std::min(kMaxPageEntries, size_t{std::stoul(limit)});
   json list = json::array();
   bool truncated = false;
   for (const auto& machine : list_snapshots_.front().machines) {
@@ -144,7 +147,8 @@
 int Cloud::rented(const std::string& type, const std::string& zone, bool spot) const {
   int count = 0;
   for (const auto& [name, machine] : machines)
-    if (!machine.is_terminated && machine.type == type && machine.zone == zone && machine.spot == spot)
+    if (!machine.is_terminated && machine.type == type && machine.zone == zone &&
+        machine.spot == spot)
       ++count;
   return count;
 }
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -16,8 +16,8 @@
   std::string name;
   double cpus = 16, memory_gb = 64;
   double price = 1, spot_price = 0.4;  // for one hour
-  double boot_s = 3;          // typical time from the rental until the worker starts
-  double fetch_gb_per_s = 1;  // rate at which images are fetched
+  double boot_s = 3;                   // typical time from the rental until the worker starts
+  double fetch_gb_per_s = 1;           // rate at which images are fetched
   std::vector<std::string> zones;
   int capacity = 10;  // machines in each zone, separately for spot and on-demand
 };
@@ -30,8 +30,8 @@
   double rented_at = 0, boots_at = 0;  // simulated times
 };
 
-// Rents out machines while it has capacity, returns a list of machines that lags behind their state, and
-// limits the request rate.
+// Rents out machines while it has capacity, returns a list of machines that lags behind their
+// state, and limits the request rate.
 class Cloud {
  public:
   Cloud(double requests_per_s, double list_lag_s)
@@ -44,10 +44,10 @@
   // Terminates a machine, on its release or when a spot machine is reclaimed.
   void reclaim(const std::string& name);
 
-  std::vector<TypeSpec> types;  // the catalog
-  std::map<std::string, CloudMachine> machines;  // all ever rented, by name
+  std::vector<TypeSpec> types;                              // the catalog
+  std::map<std::string, CloudMachine> machines;             // all ever rented, by name
   std::vector<std::string> newly_booted, newly_terminated;  // names; emptied by the reader
-  bool outage = false;  // every request is answered with 503
+  bool outage = false;                                      // every request is answered with 503
   int boots_to_prevent = 0;  // how many of the next rented machines never boot
 
  private:
@@ -72,8 +72,9 @@
   double requests_per_s_, list_lag_s_;
   double request_budget_ = -1;  // -1: not filled yet
   double last_tick_ = 0;
-  std::map<std::string, std::string> rent_responses_;  // by request ID; a repeated request rents nothing more
-  std::deque<ListSnapshot> list_snapshots_;          // oldest first; the first is returned to readers
+  std::map<std::string, std::string>
+      rent_responses_;                       // by request ID; a repeated request rents nothing more
+  std::deque<ListSnapshot> list_snapshots_;  // oldest first; the first is returned to readers
   int next_machine_ = 1;
 };
 
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -16,14 +16,17 @@
 
 namespace {
 
-constexpr double kBatchDelaySeconds = 0.0005;     // s from an input to the batch that contains it
-constexpr double kConnectFailureSeconds = 0.001;  // s until a request to a controller that is down fails
-// Controllers' steady clocks have nothing in common, and their wall clocks differ a little.
-constexpr double kWallClockStartSeconds = 1.7e9, kSteadyClockOffsetSeconds = 100, kWallClockOffsetSeconds = 0.03;
+constexpr double kBatchDelaySeconds = 0.0005;  // from an input to the batch that contains it
+constexpr double kConnectFailureSeconds =
+    0.001;  // until a request to a controller that is down fails
+// The steady clocks of controllers are unrelated, and their wall clocks differ slightly.
+constexpr double kWallClockStartSeconds = 1.7e9, kSteadyClockOffsetSeconds = 100,
+                 kWallClockOffsetSeconds = 0.03;
 
 Time clocks_of(size_t controller, double now) {
   const auto position = static_cast<double>(controller);
-  return {now + kSteadyClockOffsetSeconds * position, kWallClockStartSeconds + now + kWallClockOffsetSeconds * position};
+  return {now + kSteadyClockOffsetSeconds * position,
+          kWallClockStartSeconds + now + kWallClockOffsetSeconds * position};
 }
 
 }  // namespace
@@ -49,7 +52,7 @@
   proc.running_settings =
       proc.version == ControllerVersion::kFirst ? proc.settings.first : proc.settings.current;
   proc.core = std::make_unique<Controller>(proc.running_settings, simulation_.random.next(),
-                                        kWallClockStartSeconds + simulation_.now(), verbose_);
+                                           kWallClockStartSeconds + simulation_.now(), verbose_);
   deliver(controller, Tick{});
 }
 
@@ -90,7 +93,7 @@
 void ControllerCluster::run_batch(size_t controller, uint64_t generation) {
   Process& proc = process(controller);
   if (!proc.core || proc.generation != generation) return;
-  if (proc.frozen_until > simulation_.now()) {  // its input stays in its sockets meanwhile
+  if (proc.frozen_until > simulation_.now()) {  // the process is frozen; its inputs stay queued
     simulation_.events.at(proc.frozen_until,
                           [this, controller, generation] { run_batch(controller, generation); });
     return;
@@ -149,13 +152,14 @@
        respond_once] { deliver_request(controller, generation, request, respond_once); });
 }
 
-void ControllerCluster::deliver_request(size_t controller, uint64_t generation,
-                                          HttpRequest request, const ResponseHandler& on_response) {
+void ControllerCluster::deliver_request(size_t controller, uint64_t generation, HttpRequest request,
+                                        const ResponseHandler& on_response) {
   Process& proc = process(controller);
   if (proc.generation != generation || !proc.core) return on_response({});
   const uint64_t id = proc.next_request++;
   proc.pending_requests[id] = [this, on_response](const HttpResponse& response) {
-    simulation_.events.after(network_.latency(), [on_response, response] { on_response(response); });
+    simulation_.events.after(network_.latency(),
+                             [on_response, response] { on_response(response); });
   };
   deliver(controller, Request{id, std::move(request.method), std::move(request.target),
                               std::move(request.body)});
--- a/tests/standins/deployment_settings.h
+++ b/tests/standins/deployment_settings.h
@@ -1,4 +1,4 @@
-// The settings that the platform hands to each controller of a simulated deployment.
+// The settings that the platform provides to each controller of a simulated deployment.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
 
 namespace standins {
 
-// One entry for each controller; they are labelled "c0", "c1" and so on. The version before upgrade
-// records does not read which limits the store has announced.
+// Returns one entry for each controller; they are labelled "c0", "c1", etc. The settings of the
+// first version do not contain the limits that the store has announced, since it does not read
+// them.
 std::vector<ControllerSettings> make_settings(const WorldOptions& options,
                                               const std::vector<std::string>& zones,
                                               const TeamQuotas& teams);
--- a/tests/standins/effects_digest.h
+++ b/tests/standins/effects_digest.h
@@ -1,4 +1,4 @@
-// A number that stands for everything a simulated deployment's controllers did.
+// A hash of all effects of a simulated deployment's controllers.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,13 @@
 
 namespace standins {
 
-// Sums up effects in the order in which they came out, log lines aside. Two builds that behave
-// alike come to the same value for the same scenario and seed, so that a change of structure alone
-// can be shown to be one.
+// Hashes effects in their order, except for log lines. Two builds with the same behavior have the
+// same value for the same scenario and seed, which verifies that a refactoring changes no behavior.
 class EffectsDigest {
  public:
+  // Adds the effects of one batch of a controller. Batches without effects do not change the value.
   void add(double now, std::string_view controller, const rooksill::runtime::Effects& effects);
+  // Returns the digest of all effects added so far.
   uint64_t value() const { return hash_; }
 
  private:
--- a/tests/standins/end_of_day_checks.cc
+++ b/tests/standins/end_of_day_checks.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double kMaxResponseGapSeconds = 75;          // s without an answer about a job
-constexpr double kMaxStartOfLargestSeconds = 240;  // s
-constexpr double kMinObservationSeconds = 45;      // s before the end
-constexpr double kLargestShare = 0.1;       // of a class
+constexpr double kMaxResponseGapSeconds = 75;      // without a response about a job
+constexpr double kMaxStartOfLargestSeconds = 240;  // from submission to start
+constexpr double kMinObservationSeconds = 45;      // from submission, or the last fault, to the end
+constexpr double kLargestShare = 0.1;              // of the jobs of a class
 
 }  // namespace
 
@@ -20,7 +20,8 @@
   for (const auto& [id, job] : jobs_) {
     if (!job.is_accepted() || job.cancel_requested) continue;
     check_recent_response(job, faults_end);
-    if (simulation_.now() - std::max(job.submitted_at, faults_end) < kMinObservationSeconds) continue;
+    if (simulation_.now() - std::max(job.submitted_at, faults_end) < kMinObservationSeconds)
+      continue;
     by_class[job.job_class].push_back(&job);
     by_team[job.team].push_back(&job);
   }
@@ -31,7 +32,7 @@
 void EndOfDayChecks::check_recent_response(const UserJob& job, double faults_end) {
   const double since = std::max({job.last_response_at, job.submitted_at, faults_end});
   if (simulation_.now() - since > kMaxResponseGapSeconds)
-    simulation_.add_violation("forgotten: nothing is answered about " + job.id());
+    simulation_.add_violation("forgotten: no response reported the status of " + job.id());
 }
 
 void EndOfDayChecks::check_served(const std::string& group, const JobList& jobs) {
@@ -41,7 +42,7 @@
       }));
   if (served * 2 < jobs.size())
     simulation_.add_violation("unserved: " + std::to_string(served) + " of " +
-                          std::to_string(jobs.size()) + " of " + group);
+                              std::to_string(jobs.size()) + " of " + group);
 }
 
 void EndOfDayChecks::check_class(const std::string& name, const JobList& jobs) {
--- a/tests/standins/end_of_day_checks.h
+++ b/tests/standins/end_of_day_checks.h
@@ -1,4 +1,4 @@
-// The checks that users make when a day is over.
+// Checks at the end of a run whether users' jobs were served.
 #pragma once
 
 #include <string>
@@ -10,23 +10,27 @@
 
 namespace standins {
 
-// Looks at the accepted jobs that are not cancelled:
-//   forgotten  nothing was answered about a job within 75 s after the faults
-//   unserved   fewer than half of a class, of a team, or of the largest tenth of a class started
-//   late       one of the largest tenth of a class did not start within four minutes
-// Jobs of the last 45 s count only for the first.
+// Checks the accepted jobs without a request to cancel them. The text of a violation begins with:
+//   forgotten  no response reported the status of a job for more than 75 s after the faults ended
+//   unserved   fewer than half of the jobs of a class, of a team, or of the largest tenth of a
+//   class,
+//              by number of tasks, started
+//   late       a job in the largest tenth of a class did not start within four minutes
+// Jobs submitted less than 45 s before the end, or before 45 s after the faults, are checked only
+// for the first.
 class EndOfDayChecks {
  public:
   EndOfDayChecks(Simulation& simulation, const UserJobs& jobs, const TaskLedger& ledger)
       : simulation_(simulation), jobs_(jobs), ledger_(ledger) {}
 
-  // `faults_end` is when the last fault ended.
+  // Runs all checks. `faults_end` is when the last fault ended.
   void run(double faults_end);
 
  private:
   using JobList = std::vector<const UserJob*>;
 
   void check_recent_response(const UserJob& job, double faults_end);
+  // Checks that at least half of the jobs have started.
   void check_served(const std::string& group, const JobList& jobs);
   void check_class(const std::string& name, const JobList& jobs);
   void check_started_in_time(const UserJob& job, const std::string& job_class);
--- a/tests/standins/event_queue.h
+++ b/tests/standins/event_queue.h
@@ -1,4 +1,4 @@
-// The simulated clock and the actions that are due at a later time on it.
+// The simulated clock and the actions scheduled on it.
 #pragma once
 
 #include <functional>
@@ -12,17 +12,20 @@
  public:
   using Action = std::function<void()>;
 
+  // Returns the simulated time.
   double now() const { return now_; }
 
-  // Runs `action` at `time`, or as soon as possible if that has passed.
+  // Schedules `action` at `time`, or as soon as possible if that has passed.
   void at(double time, Action action);
+  // Schedules `action` after a delay.
   void after(double delay_s, Action action) { at(now_ + delay_s, std::move(action)); }
 
-  // Advances the clock to `end` in steps of `step_s`: runs the actions that fall into a step, each
-  // at its own time, then calls `on_step` at the step's end.
+  // Advances the clock to `end` in steps of `step_s`. In each step, runs the actions that are due,
+  // each at its own time, then calls `on_step` at the end of the step.
   void run_until(double end, double step_s, const Action& on_step);
 
  private:
+  // Runs the actions that are due at `limit` or earlier.
   void run_actions_due(double limit);
 
   double now_ = 0;
--- a/tests/standins/fault_injector.cc
+++ b/tests/standins/fault_injector.cc
@@ -51,11 +51,13 @@
   targets_.network.cut_controller(controller, link, {simulation_.now() + duration_s, mode});
 }
 
-void FaultInjector::cut_machines(int count, double duration_s, CutMode mode, const std::string& zone) {
+void FaultInjector::cut_machines(int count, double duration_s, CutMode mode,
+                                 const std::string& zone) {
   extend_faults_end(duration_s);
   apply_to_machines(count, [&](Worker& worker) {
     MachineLink& link = targets_.network.machine(worker.name);
-    if (link.cut.is_active(simulation_.now()) || (!zone.empty() && worker.zone != zone)) return false;
+    if (link.cut.is_active(simulation_.now()) || (!zone.empty() && worker.zone != zone))
+      return false;
     link.cut = {simulation_.now() + duration_s, mode};
     return true;
   });
@@ -90,7 +92,8 @@
 
 void FaultInjector::lose_responses(double probability, double duration_s) {
   extend_faults_end(duration_s);
-  set_temporarily(targets_.network.message_faults().lost_response_probability, probability, duration_s);
+  set_temporarily(targets_.network.message_faults().lost_response_probability, probability,
+                  duration_s);
 }
 
 void FaultInjector::delay_temporarily(RandomDelay& delay, double probability, double max_delay_s,
@@ -101,7 +104,8 @@
 }
 
 void FaultInjector::delay_requests(double probability, double max_delay_s, double duration_s) {
-  delay_temporarily(targets_.network.message_faults().delayed_requests, probability, max_delay_s, duration_s);
+  delay_temporarily(targets_.network.message_faults().delayed_requests, probability, max_delay_s,
+                    duration_s);
 }
 
 void FaultInjector::delay_transactions(double probability, double max_delay_s, double duration_s) {
@@ -112,11 +116,14 @@
 }
 
 void FaultInjector::delay_commands(double probability, double max_delay_s, double duration_s) {
-  delay_temporarily(targets_.network.message_faults().delayed_commands, probability, max_delay_s, duration_s);
+  delay_temporarily(targets_.network.message_faults().delayed_commands, probability, max_delay_s,
+                    duration_s);
 }
 
-void FaultInjector::duplicate_heartbeats(double probability, double max_delay_s, double duration_s) {
-  delay_temporarily(targets_.network.message_faults().duplicate_heartbeats, probability, max_delay_s, duration_s);
+void FaultInjector::duplicate_heartbeats(double probability, double max_delay_s,
+                                         double duration_s) {
+  delay_temporarily(targets_.network.message_faults().duplicate_heartbeats, probability,
+                    max_delay_s, duration_s);
 }
 
 // ---- store ---------------------------------------------------------------------------------
@@ -124,7 +131,8 @@
 void FaultInjector::store_outage(double duration_s) {
   extend_faults_end(duration_s);
   targets_.store.set_outage(simulation_.now(), true);
-  simulation_.events.after(duration_s, [this] { targets_.store.set_outage(simulation_.now(), false); });
+  simulation_.events.after(duration_s,
+                           [this] { targets_.store.set_outage(simulation_.now(), false); });
 }
 
 void FaultInjector::slow_store(double max_delay_s, double duration_s) {
@@ -184,7 +192,7 @@
 
 void FaultInjector::cancel_running_jobs(int count, double hang_s) {
   constexpr size_t kMaxHangingMachines = 8;
-  constexpr double kCancelWindowSeconds = 0.2;    // s
+  constexpr double kCancelWindowSeconds = 0.2;  // s
   std::vector<std::string> running;
   for (const auto& [id, job] : targets_.jobs)
     if (job.is_accepted() && !job.has_final_status() && !job.cancel_requested &&
--- a/tests/standins/fault_injector.h
+++ b/tests/standins/fault_injector.h
@@ -12,9 +12,9 @@
 #include "standins/machine_fleet.h"
 #include "standins/message_router.h"
 #include "standins/network.h"
-#include "standins/unexpected_requests.h"
 #include "standins/simulation.h"
 #include "standins/task_ledger.h"
+#include "standins/unexpected_requests.h"
 #include "standins/user_job.h"
 #include "standins/users.h"
 #include "standins/world_options.h"
@@ -35,9 +35,10 @@
   UnexpectedRequests& unexpected_requests;
 };
 
-// Each method starts a fault at once, or an upgrade or a change of limits. Faults with a `duration_s`
-// end by themselves after that many seconds. Methods with a `count` of machines choose the first
-// machines, in ascending order of name, that are alive and not already affected by the same fault.
+// Each method starts a fault at once, or an upgrade or a change of limits. Faults with a
+// `duration_s` end by themselves after that many seconds. Methods with a `count` of machines choose
+// the first machines, in ascending order of name, that are alive and not already affected by the
+// same fault.
 class FaultInjector {
  public:
   FaultInjector(Simulation& simulation, const WorldOptions& options, const FaultTargets& targets)
@@ -48,7 +49,7 @@
   void crash(size_t controller, double downtime_s);
   void upgrade(size_t controller, double downtime_s);    // restarts with the current version
   void downgrade(size_t controller, double downtime_s);  // restarts with the first version
-  void freeze(size_t controller, double duration_s);      // stops execution; clocks continue
+  void freeze(size_t controller, double duration_s);     // stops execution; clocks continue
 
   // The network.
   // Cuts a link of a controller.
@@ -85,8 +86,8 @@
   void prevent_boots(int count);
   // Sets the cloud's capacity for every machine type in each zone.
   void set_capacity(int machines);
-  // Reclaims each spot machine with the probability `share`, `notice_s` after notice is given; at once
-  // if that is 0.
+  // Reclaims each spot machine with the probability `share`, `notice_s` after notice is given; at
+  // once if that is 0.
   void reclaim_spot(double share, double notice_s);
   // Suspends machines; they execute and send nothing.
   void hang_machines(int count, double duration_s);
@@ -94,8 +95,8 @@
   void make_machines_faulty(int count);
 
   // Users.
-  // Cancels up to `count` random running jobs at nearly the same time. If `hang_s` is not 0, some of
-  // their machines hang for that time.
+  // Cancels up to `count` random running jobs at nearly the same time. If `hang_s` is not 0, some
+  // of their machines hang for that time.
   void cancel_running_jobs(int count, double hang_s);
   // Makes users cancel jobs, with this probability, at the moment their last task completes.
   void cancel_on_completion(double probability, double duration_s);
@@ -110,7 +111,8 @@
   // Moves faults_end_ to `duration_s` from now, unless it is later already.
   void extend_faults_end(double duration_s);
   // Delays messages with this probability, each by up to `max_delay_s`, for `duration_s`.
-  void delay_temporarily(RandomDelay& delay, double probability, double max_delay_s, double duration_s);
+  void delay_temporarily(RandomDelay& delay, double probability, double max_delay_s,
+                         double duration_s);
   // Sets the value to `to`, and to 0 after `duration_s`.
   void set_temporarily(double& value, double to, double duration_s);
   // Calls `apply` on machines that are alive, by name, until it has returned true `count` times.
--- a/tests/standins/first_version.cc
+++ b/tests/standins/first_version.cc
@@ -35,7 +35,8 @@
   return out;
 }
 
-// Fields of each kind of message, and of the entries of a message of views.
+// The number of fields of the envelope, of each kind of message, and of each entry of a message
+// with views of machines.
 constexpr size_t kEnvelopeFields = 6, kViewFields = 13;
 constexpr int kViewsKind = 5;
 const std::map<int, size_t> kMessageFields{{1, 11}, {2, 1}, {3, 6}, {4, 5}, {5, 1}, {6, 2}};
--- a/tests/standins/first_version.h
+++ b/tests/standins/first_version.h
@@ -1,5 +1,6 @@
-// What the version of rooksill before upgrade records knows: the fields of its values in the state
-// service and the lengths of its messages. Written apart from the code under test.
+// The formats that the first version of rooksill, which predates upgrade records, can read: the
+// fields of its values in the key-value store and the lengths of its messages. Defined
+// independently of the code under test.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,11 +8,13 @@
 
 namespace standins {
 
-// Empty if that version writes such values under such keys itself; otherwise what it does not know.
+// Returns an empty string if the first version itself writes such a value under such a key,
+// otherwise a description of what it cannot read.
 std::string unknown_to_first_version(const std::string& key, const nlohmann::json& value);
-// The same of a message between controllers.
+// Returns the same for a message between controllers.
 std::string unknown_to_first_version(const std::string& message);
-// Whether that version ignores the key: records of versions and of the upgrade.
+// Returns whether the first version ignores the key, which is that of a version record or of the
+// upgrade record.
 bool is_ignored_by_first_version(const std::string& key);
 
 }  // namespace standins
--- a/tests/standins/http_message.h
+++ b/tests/standins/http_message.h
@@ -1,4 +1,4 @@
-// Requests and answers as the stand-ins exchange them: HTTP without its transport.
+// HTTP requests and responses as the simulated processes exchange them, without transport.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 };
 
 struct HttpResponse {
-  int status = 0;  // 0: none came
+  int status = 0;  // 0: no response was received
   std::string body;
-  double retry_after_s = 0;  // 0: no such header
+  double retry_after_s = 0;  // value of Retry-After; 0: no such header
 };
 
 }  // namespace standins
--- a/tests/standins/key_value_store.cc
+++ b/tests/standins/key_value_store.cc
@@ -64,7 +64,8 @@
 
 // ---- requests ------------------------------------------------------------------------------
 
-void KeyValueStore::handle(double now, const HttpRequest& request, const ResponseHandler& on_response) {
+void KeyValueStore::handle(double now, const HttpRequest& request,
+                           const ResponseHandler& on_response) {
   tick(now);
   ++requests_;
   if (outage_) return on_response({503, "{}"});
@@ -177,8 +178,8 @@
   if (body.size() > kMaxTransactionBytes) violations_.push_back("transaction too large");
 }
 
-// Returns the keys whose revision differs from the one that the transaction expects. The revision of a
-// key that does not exist is 0.
+// Returns the keys whose revision differs from the one that the transaction expects. The revision
+// of a key that does not exist is 0.
 json KeyValueStore::failed_guards(const json& guards) const {
   json failed = json::array();
   for (const auto& guard : guards) {
@@ -232,7 +233,8 @@
   }
 }
 
-void KeyValueStore::watch(double now, const std::string& target, const ResponseHandler& on_response) {
+void KeyValueStore::watch(double now, const std::string& target,
+                          const ResponseHandler& on_response) {
   Query query = parse_query(target);
   const std::string prefix = query["starts"];
   const uint64_t after_revision = std::stoull(query["from"]);
--- a/tests/standins/key_value_store.h
+++ b/tests/standins/key_value_store.h
@@ -13,9 +13,9 @@
 
 namespace standins {
 
-// Linearizable: each request executes atomically when it arrives. Every change increments the store's
-// revision. A key may be bound to a lease and is deleted when the lease expires; leases do not expire
-// during an outage. The rates of requests and of writes are limited.
+// Linearizable: each request executes atomically when it arrives. Every change increments the
+// store's revision. A key may be bound to a lease and is deleted when the lease expires; leases do
+// not expire during an outage. The rates of requests and of writes are limited.
 class KeyValueStore {
  public:
   // Called before handle() returns, except for watches, which receive a response when a watched key
@@ -30,8 +30,8 @@
   // Expires leases and responds to watches that are due. Does nothing during an outage.
   void tick(double now);
 
-  // Starts or ends an outage, during which the response to every request is 503. All leases restart with
-  // their full TTL when it ends.
+  // Starts or ends an outage, during which the response to every request is 503. All leases restart
+  // with their full TTL when it ends.
   void set_outage(double now, bool outage);
   // Replaces the limits, with immediate effect.
   void set_limits(const StoreLimits& limits) { limits_ = limits; }
@@ -42,8 +42,8 @@
   // version.
   bool has_upgrade_record() const;
 
-  // Returns violations of the store's limits, and records written before the upgrade record that the
-  // first version could not read.
+  // Returns violations of the store's limits, and records written before the upgrade record that
+  // the first version could not read.
   const std::vector<std::string>& violations() const { return violations_; }
   // Counters since the start of the run.
   uint64_t requests() const { return requests_; }
--- a/tests/standins/machine_fleet.cc
+++ b/tests/standins/machine_fleet.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr double kHeartbeatTimeoutSeconds = 4;    // s that a worker waits for an answer
-constexpr double kConnectFailureSeconds = 0.001;  // s until a worker sees that it cannot connect
-constexpr double kHangPollIntervalSeconds = 0.1;  // s between looks whether a machine goes on
+constexpr double kHeartbeatTimeoutSeconds = 4;  // after which a worker stops waiting for a response
+constexpr double kConnectFailureSeconds = 0.001;  // until a worker's connection attempt fails
+constexpr double kHangPollIntervalSeconds =
+    0.1;  // between checks whether a hanging machine has resumed
 
 void ignore(const HttpResponse&) {}
 
@@ -18,7 +19,8 @@
 
 void MachineFleet::step() {
   for (const auto& name : std::exchange(cloud_.newly_booted, {}))
-    if (const CloudMachine& machine = cloud_.machines[name]; !machine.is_terminated) start_worker(machine);
+    if (const CloudMachine& machine = cloud_.machines[name]; !machine.is_terminated)
+      start_worker(machine);
   for (const auto& name : std::exchange(cloud_.newly_terminated, {})) {
     Worker* worker = find(name);
     if (worker == nullptr) continue;
@@ -52,7 +54,7 @@
   const size_t controller = worker.current_controller;
   const std::string name = worker.name;
   const auto on_response = [this, name, sent_at = simulation_.now(),
-                          agent_epoch = worker.agent_epoch](const HttpResponse& response) {
+                            agent_epoch = worker.agent_epoch](const HttpResponse& response) {
     find(name)->on_heartbeat_response(simulation_.now(), response, sent_at, agent_epoch);
   };
   if (simulation_.random.bernoulli(network_.message_faults().duplicate_heartbeats.probability))
@@ -62,11 +64,12 @@
 
   const HeartbeatRoute route = network_.route_heartbeat(name, controller);
   if (route.disposition == HeartbeatRoute::Disposition::kDelivered)
-    return send_to(controller, body, [this, name, controller, on_response](const HttpResponse& response) {
-      on_response(network_.loses_responses(name, controller) ? HttpResponse{} : response);
-    });
+    return send_to(
+        controller, body, [this, name, controller, on_response](const HttpResponse& response) {
+          on_response(network_.loses_responses(name, controller) ? HttpResponse{} : response);
+        });
   simulation_.events.after(kHeartbeatTimeoutSeconds, [on_response] { on_response({}); });
-  // Held packets arrive after the cut, when the worker has long given up.
+  // Delayed heartbeats arrive when the cut ends; the worker does not wait for their responses.
   if (route.disposition == HeartbeatRoute::Disposition::kDelayed)
     simulation_.events.at(route.delayed_until + network_.latency(),
                           [this, controller, body] { send_to(controller, body, ignore); });
@@ -74,14 +77,15 @@
 
 void MachineFleet::send_duplicate(const std::string& body) {
   const size_t controller = cluster_.random_controller();
-  const double delay =
-      network_.message_faults().duplicate_heartbeats.max_delay_s * simulation_.random.uniform_unit();
+  const double delay = network_.message_faults().duplicate_heartbeats.max_delay_s *
+                       simulation_.random.uniform_unit();
   simulation_.events.after(delay, [this, controller, body] { send_to(controller, body, ignore); });
 }
 
 void MachineFleet::send_to(size_t controller, const std::string& body,
                            const ControllerCluster::ResponseHandler& on_response) {
-  cluster_.request(controller, {"POST", "/agent/beat", body}, kHeartbeatTimeoutSeconds, on_response);
+  cluster_.request(controller, {"POST", "/agent/beat", body}, kHeartbeatTimeoutSeconds,
+                   on_response);
 }
 
 void MachineFleet::handle_call(const std::string& machine, const Call& call,
--- a/tests/standins/machine_fleet.h
+++ b/tests/standins/machine_fleet.h
@@ -1,4 +1,5 @@
-// The machines that run: workers from the cloud's boot until it ends them, and their heartbeats.
+// The running machines: their workers, from boot to termination by the cloud, and the transport of
+// heartbeats and commands.
 #pragma once
 
 #include <functional>
@@ -15,6 +16,8 @@
 
 namespace standins {
 
+// Owns the workers of all machines and connects them with the cloud, the network and the
+// controllers.
 class MachineFleet {
  public:
   using ResponseHandler = std::function<void(const HttpResponse&)>;
@@ -28,28 +31,33 @@
         environment_(environment),
         times_(times) {}
 
-  // Starts workers on machines that have booted, ends those that the cloud took, and lets the rest
-  // work on up to the present time.
+  // Starts workers on machines that have booted, ends those on terminated machines, and advances
+  // the others to the current time. Call at every time step.
   void step();
 
-  // A controller's call arrives at the machine. A machine that hangs executes it when it goes on,
-  // long after the sender gave up; one that is gone never answers.
+  // Executes a controller's call that has arrived at the machine. A hanging machine executes it
+  // when it resumes, when the sender's timeout has usually passed, and sends no response. A
+  // terminated machine drops it.
   void handle_call(const std::string& machine, const rooksill::runtime::Call& call,
                    const ResponseHandler& on_response);
 
-  // The machine hangs for so long: it executes and sends nothing, while its lease runs out.
+  // Suspends the machine: it executes and sends nothing, and its lease may expire meanwhile.
   void hang(Worker& worker, double duration_s);
 
-  // All that ever booted, by name; some are dead.
+  // Returns the workers of all machines that ever booted, by name, including terminated ones.
   const std::map<std::string, std::unique_ptr<Worker>>& workers() const { return workers_; }
+  // Returns the worker of a machine, or null if the machine never booted.
   Worker* find(const std::string& machine);
+  // Returns the number of machines that are not terminated.
   int alive_count() const;
-  // The highest of a machine that is alive. Each epoch but the first began when a lease expired.
+  // Returns the highest agent epoch of these machines. Every epoch after the first began when a
+  // lease expired.
   uint64_t max_agent_epoch() const;
 
  private:
   void start_worker(const CloudMachine& machine);
   void send_heartbeat(Worker& worker);
+  // Sends a copy of a heartbeat to a random controller after a random delay.
   void send_duplicate(const std::string& body);
   void send_to(size_t controller, const std::string& body,
                const ControllerCluster::ResponseHandler& on_response);
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -44,7 +44,7 @@
   const std::string unknown = unknown_to_first_version(message);
   if (!unknown.empty())
     simulation_.add_violation("unknown to the first version, from " + cluster_.label(from) + ": " +
-                          unknown);
+                              unknown);
 }
 
 void MessageRouter::on_call(size_t from, const Call& call) {
@@ -56,7 +56,8 @@
       delivery->at, [this, from, call, on_response, is_response_lost = delivery->is_response_lost] {
         execute(from, call, [this, on_response, is_response_lost](const HttpResponse& response) {
           if (is_response_lost) return;
-          simulation_.events.after(network_.latency(), [on_response, response] { on_response(response); });
+          simulation_.events.after(network_.latency(),
+                                   [on_response, response] { on_response(response); });
         });
       });
 }
--- a/tests/standins/message_router.h
+++ b/tests/standins/message_router.h
@@ -16,8 +16,8 @@
 
 namespace standins {
 
-// Receives the effects of the controllers and delivers them to other controllers, workers, the store
-// and the cloud at the time, and with the faults, that the network determines.
+// Receives the effects of the controllers and delivers them to other controllers, workers, the
+// store and the cloud at the time, and with the faults, that the network determines.
 class MessageRouter : public EffectsHandler {
  public:
   MessageRouter(Simulation& simulation, Network& network, ControllerCluster& cluster,
@@ -32,8 +32,8 @@
 
   // Delivers a message to another controller, unless the network drops it.
   void on_peer_message(size_t from, const rooksill::runtime::PeerSend& message) override;
-  // Executes a call at its target and returns the response to the caller. Reports status 0 after the
-  // call's timeout.
+  // Executes a call at its target and returns the response to the caller. Reports status 0 after
+  // the call's timeout.
   void on_call(size_t from, const rooksill::runtime::Call& call) override;
 
   // Sets whether the store responds 503 to every request of this controller.
@@ -45,13 +45,14 @@
  private:
   using ResponseHandler = std::function<void(const HttpResponse&)>;
 
-  // Adds a violation if a message has a format that the first version cannot read although not every
-  // controller has the current version.
+  // Adds a violation if a message has a format that the first version cannot read although not
+  // every controller has the current version.
   void check_known_to_first_version(size_t from, const std::string& message);
   // Returns a handler that delivers the first response to the process that made the call.
   ResponseHandler respond_once(size_t from, uint64_t call_id);
   // Executes the call at its target, which may respond later or not at all.
-  void execute(size_t from, const rooksill::runtime::Call& call, const ResponseHandler& on_response);
+  void execute(size_t from, const rooksill::runtime::Call& call,
+               const ResponseHandler& on_response);
   void execute_at_store(size_t from, const rooksill::runtime::Call& call,
                         const ResponseHandler& on_response);
 
--- a/tests/standins/network.cc
+++ b/tests/standins/network.cc
@@ -27,7 +27,9 @@
 
 }  // namespace
 
-double Network::latency() { return simulation_.random.uniform(kMinLatencySeconds, kMaxLatencySeconds); }
+double Network::latency() {
+  return simulation_.random.uniform(kMinLatencySeconds, kMaxLatencySeconds);
+}
 
 void Network::add_machine(const std::string& name, const std::string& zone) {
   machines_[name].zone = zone;
@@ -94,7 +96,7 @@
 }
 
 std::optional<double> Network::arrival_after_machine_cut(size_t from, const MachineLink& machine,
-                                                double at) {
+                                                         double at) {
   if (machine.inbound_lost_until > simulation_.now()) return std::nullopt;
   if (!machine.cut.is_active(simulation_.now()) || is_in_same_partition(machine, from)) return at;
   if (machine.cut.mode == CutMode::kDrop) return std::nullopt;
@@ -106,12 +108,14 @@
   const MessageFaults& faults = message_faults_;
   delivery.is_response_lost = random.bernoulli(faults.lost_response_probability);
   if (call.target == Target::kState) {
-    if (faults.max_store_delay_s > 0) delivery.at += faults.max_store_delay_s * random.uniform_unit();
+    if (faults.max_store_delay_s > 0)
+      delivery.at += faults.max_store_delay_s * random.uniform_unit();
     if (faults.delayed_transactions.probability > 0 && call.path == "/txn" &&
         random.bernoulli(faults.delayed_transactions.probability)) {
       delivery.is_response_lost = true;
       delivery.at += kMinTransactionDelaySeconds +
-                     (faults.delayed_transactions.max_delay_s - kMinTransactionDelaySeconds) * random.uniform_unit();
+                     (faults.delayed_transactions.max_delay_s - kMinTransactionDelaySeconds) *
+                         random.uniform_unit();
     }
   }
   if (call.target != Target::kCloud && random.bernoulli(faults.delayed_requests.probability))
--- a/tests/standins/network.h
+++ b/tests/standins/network.h
@@ -31,9 +31,10 @@
 // The network faults of one machine. Times are when a fault ends.
 struct MachineLink {
   std::string zone;
-  Cut cut;                         // affects both directions
-  double inbound_lost_until = 0;   // commands and responses to it are dropped, its heartbeats arrive
-  double outbound_lost_until = 0;  // it cannot open connections, commands and their responses arrive
+  Cut cut;                        // affects both directions
+  double inbound_lost_until = 0;  // commands and responses to it are dropped, its heartbeats arrive
+  double outbound_lost_until =
+      0;  // it cannot open connections, commands and their responses arrive
 };
 
 // Delays a message with the given probability by a time drawn uniformly from 0 to max_delay_s.
@@ -44,17 +45,20 @@
 
 // Faults that affect single messages at random. All are initially off.
 struct MessageFaults {
-  double lost_response_probability = 0;     // of controllers' calls: executed, but the response is dropped
-  RandomDelay delayed_requests;         // calls to the store and to workers
-  RandomDelay delayed_transactions;     // store transactions: executed late, after newer ones; response dropped
-  RandomDelay delayed_commands;         // commands to workers; heartbeats and their responses are not delayed
+  double lost_response_probability =
+      0;                             // of controllers' calls: executed, but the response is dropped
+  RandomDelay delayed_requests;      // calls to the store and to workers
+  RandomDelay delayed_transactions;  // store transactions: executed late, after newer ones;
+                                     // response dropped
+  RandomDelay
+      delayed_commands;  // commands to workers; heartbeats and their responses are not delayed
   RandomDelay duplicate_heartbeats;  // a copy arrives late at a random controller
-  double max_store_delay_s = 0;          // upper limit of the delay added to each store request
+  double max_store_delay_s = 0;      // upper limit of the delay added to each store request
 };
 
 // The arrival of a call that is not dropped.
 struct Delivery {
-  double at = 0;  // when it arrives
+  double at = 0;                  // when it arrives
   bool is_response_lost = false;  // the call is executed, but its response is dropped
 };
 
@@ -85,8 +89,9 @@
 
   // Cuts a controller's link, replacing an earlier cut of the same link.
   void cut_controller(size_t controller, Link link, const Cut& cut);
-  // Exempts traffic between the zone's machines and this controller from all cuts until `until`. The
-  // cuts that isolate both from the rest are set separately; see FaultInjector::partition_zone().
+  // Exempts traffic between the zone's machines and this controller from all cuts until `until`.
+  // The cuts that isolate both from the rest are set separately; see
+  // FaultInjector::partition_zone().
   void partition_zone(const std::string& zone, size_t controller, double until);
 
   // Returns when a message to another controller arrives, or nullopt if it is dropped.
@@ -107,11 +112,15 @@
 
   // Returns the active cut of the controller's link, or of all its links; null if there is none.
   const Cut* active_cut(size_t controller, Link link) const;
-  // Returns whether the machine and the controller are on the same side of an active zone partition.
+  // Returns whether the machine and the controller are on the same side of an active zone
+  // partition.
   bool is_in_same_partition(const MachineLink& machine, size_t controller) const;
-  // Return when a call that would arrive at `at` arrives given the cuts, or nullopt if it is dropped.
-  std::optional<double> arrival_after_cuts(size_t from, const rooksill::runtime::Call& call, double at);
-  std::optional<double> arrival_after_machine_cut(size_t from, const MachineLink& machine, double at);
+  // Return when a call that would arrive at `at` arrives given the cuts, or nullopt if it is
+  // dropped.
+  std::optional<double> arrival_after_cuts(size_t from, const rooksill::runtime::Call& call,
+                                           double at);
+  std::optional<double> arrival_after_machine_cut(size_t from, const MachineLink& machine,
+                                                  double at);
   // Draws delays and the loss of the response. The order of the draws determines a seed's run.
   void apply_message_faults(const rooksill::runtime::Call& call, Delivery& delivery);
 
--- a/tests/standins/random.h
+++ b/tests/standins/random.h
@@ -1,4 +1,4 @@
-// The source of all chance in a simulated deployment.
+// The random number generator of a simulated deployment.
 #pragma once
 
 #include <algorithm>
@@ -8,22 +8,25 @@
 
 namespace standins {
 
-// A generator seeded once per run. A scenario replays exactly only if its draws come in the same
-// order and number, so every method says how many it makes: one, unless stated otherwise.
+// Seeded once per run. A run is reproducible only if the random numbers are drawn in the same order
+// and number. Each method draws one, unless stated otherwise.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
 
+  // Returns a number from the whole range of uint64_t.
   uint64_t next() { return engine_(); }
+  // Returns a number from the interval [low, high).
   double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(engine_);
   }
+  // Returns a number from the interval [0, 1).
   double uniform_unit() { return uniform(0, 1); }
-  // True with this probability. Draws also if the probability is 0.
+  // Returns true with this probability. Draws a number even if the probability is 0.
   bool bernoulli(double probability) { return uniform_unit() < probability; }
-  // An index into a list of `count` entries; `count` is not 0.
+  // Returns an index less than `count`, which must not be 0.
   size_t index(size_t count) { return engine_() % count; }
-  // Draws as often as std::shuffle does for the list's length.
+  // Shuffles the list. Draws as many numbers as std::shuffle does for its length.
   template <typename List>
   void shuffle(List& list) {
     std::shuffle(list.begin(), list.end(), engine_);
--- a/tests/standins/random_faults.cc
+++ b/tests/standins/random_faults.cc
@@ -7,15 +7,18 @@
 
 namespace {
 
-// What is drawn for each fault, whether its kind makes use of it or not.
+// The random parameters of a fault. All are drawn for each fault, including those that its kind
+// does not use, so that the kinds do not change the order of the draws.
 struct Draw {
   double duration_s = 0;
   size_t controller = 0;
   CutMode mode = CutMode::kHold;
-  double strength = 0;  // between 0 and 1
+  double strength = 0;  // from 0 to 1; scales probabilities, delays and counts
   Link link = Link::kAll;
 
-  int machine_count(int max_machines) const { return 1 + static_cast<int>(strength * max_machines); }
+  int machine_count(int max_machines) const {
+    return 1 + static_cast<int>(strength * max_machines);
+  }
 };
 
 struct Target {
@@ -27,23 +30,28 @@
 using FaultFunction = void (*)(const Target&, const Draw&);
 
 void crash(const Target& target, const Draw& draw) {
-  constexpr double kMaxDowntimeSeconds = 3;  // s
+  constexpr double kMaxDowntimeSeconds = 3;
   target.faults.crash(draw.controller, std::min(draw.duration_s, kMaxDowntimeSeconds));
 }
 
 void restart(const Target& target, const Draw& draw) { target.faults.crash(draw.controller, 0.1); }
 
 void crash_all(const Target& target, const Draw&) {
-  for (size_t i = 0; i < target.controllers; ++i) target.faults.crash(i, 1 + 0.2 * static_cast<double>(i));
+  for (size_t i = 0; i < target.controllers; ++i)
+    target.faults.crash(i, 1 + 0.2 * static_cast<double>(i));
 }
 
-void cut(const Target& target, const Draw& draw) { target.faults.cut(draw.controller, draw.link, draw.duration_s, draw.mode); }
+void cut(const Target& target, const Draw& draw) {
+  target.faults.cut(draw.controller, draw.link, draw.duration_s, draw.mode);
+}
 
 void refuse_store_requests(const Target& target, const Draw& draw) {
   target.faults.refuse_store_requests(draw.controller, draw.duration_s);
 }
 
-void store_outage(const Target& target, const Draw& draw) { target.faults.store_outage(draw.duration_s); }
+void store_outage(const Target& target, const Draw& draw) {
+  target.faults.store_outage(draw.duration_s);
+}
 
 void cut_machines(const Target& target, const Draw& draw) {
   target.faults.cut_machines(draw.machine_count(2), draw.duration_s, draw.mode);
@@ -70,13 +78,17 @@
 }
 
 void duplicate_heartbeats(const Target& target, const Draw& draw) {
-  target.faults.duplicate_heartbeats(0.2 + 0.5 * draw.strength, 4 * draw.duration_s, draw.duration_s);
+  target.faults.duplicate_heartbeats(0.2 + 0.5 * draw.strength, 4 * draw.duration_s,
+                                     draw.duration_s);
 }
 
-void freeze(const Target& target, const Draw& draw) { target.faults.freeze(draw.controller, 1.5 * draw.duration_s); }
+void freeze(const Target& target, const Draw& draw) {
+  target.faults.freeze(draw.controller, 1.5 * draw.duration_s);
+}
 
 void delay_transactions(const Target& target, const Draw& draw) {
-  target.faults.delay_transactions(0.2 + 0.4 * draw.strength, 2 + 6 * draw.strength, draw.duration_s);
+  target.faults.delay_transactions(0.2 + 0.4 * draw.strength, 2 + 6 * draw.strength,
+                                   draw.duration_s);
 }
 
 void slow_store(const Target& target, const Draw& draw) {
@@ -88,34 +100,39 @@
 }
 
 void cancel_running_jobs(const Target& target, const Draw& draw) {
-  target.faults.cancel_running_jobs(draw.machine_count(4), draw.strength < 0.5 ? 0 : draw.duration_s);
+  target.faults.cancel_running_jobs(draw.machine_count(4),
+                                    draw.strength < 0.5 ? 0 : draw.duration_s);
 }
 
 void cancel_on_completion(const Target& target, const Draw& draw) {
   target.faults.cancel_on_completion(0.5, draw.duration_s);
 }
 
-void send_unexpected_requests(const Target& target, const Draw& draw) { target.faults.send_unexpected_requests(draw.duration_s); }
+void send_unexpected_requests(const Target& target, const Draw& draw) {
+  target.faults.send_unexpected_requests(draw.duration_s);
+}
 
-// A controller that cannot write is soon without its peers, jobs are cancelled through the others,
-// and then the store answers nobody, so that it cannot learn of the cancellations.
+// The store refuses a controller, which then also loses its connections to peers. Jobs are
+// cancelled through the other controllers, and a store outage follows, so that the first controller
+// cannot learn of the cancellations.
 void cancel_behind_refused_controller(const Target& target, const Draw& draw) {
   target.faults.refuse_store_requests(draw.controller, 2 + draw.duration_s);
   target.faults.cut(draw.controller, Link::kPeers, 0.2 + draw.strength, draw.mode);
   target.faults.cancel_running_jobs(2, 0);
-  target.simulation.events.after(0.3 + draw.strength / 2, [&faults = target.faults, duration_s = draw.duration_s] {
-    faults.store_outage(2 * duration_s);
-  });
+  target.simulation.events.after(0.3 + draw.strength / 2,
+                                 [&faults = target.faults, duration_s = draw.duration_s] {
+                                   faults.store_outage(2 * duration_s);
+                                 });
 }
 
-// A controller without store and peers that still reaches workers and users.
+// Cuts a controller off from the store and its peers while it still reaches workers and users.
 void isolate_from_store_and_peers(const Target& target, const Draw& draw) {
   target.faults.cut(draw.controller, Link::kStore, 2 * draw.duration_s, draw.mode);
   target.faults.cut(draw.controller, Link::kPeers, 2 * draw.duration_s, draw.mode);
   target.faults.cancel_running_jobs(2, 0);
 }
 
-// Each entry is equally likely. The order is part of what a seed stands for.
+// Each entry is equally likely. Changing the order or number changes the run of every seed.
 constexpr FaultFunction kFaults[] = {
     crash,
     crash,
--- a/tests/standins/random_faults.h
+++ b/tests/standins/random_faults.h
@@ -1,4 +1,4 @@
-// Faults drawn from the seed, alone and overlapping.
+// Random faults, which may overlap, determined by the seed.
 #pragma once
 
 #include "standins/controller_cluster.h"
@@ -7,7 +7,8 @@
 
 namespace standins {
 
-// Schedules `count` faults at times between `from` and `to`. `faults` outlives the simulation.
+// Schedules `count` faults at times between `from` and `to`. `faults` must
+// outlive the simulation.
 void schedule_random_faults(Simulation& simulation, size_t controllers, FaultInjector& faults,
                             double from, double to, int count);
 
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -32,16 +32,19 @@
   const bool rejected = response.status == 400 || response.status == 422;
   const bool accepted = response.status == 200 || response.status == 201;
   if (rejected && job.is_accepted())
-    simulation_.add_violation("forgotten: " + job.id() + " answered " + std::to_string(response.status));
+    simulation_.add_violation("forgotten: " + job.id() + " answered " +
+                              std::to_string(response.status));
   if (accepted && !can_run(job))
-    simulation_.add_violation("accepted a job that cannot run or lacks a required field: " + job.id());
+    simulation_.add_violation("accepted a job that cannot run or lacks a required field: " +
+                              job.id());
   if (response.status == 503 && response.retry_after_s <= 0)
     simulation_.add_violation("503 without Retry-After for " + job.id());
 }
 
 Outcome RuleChecker::check_status_response(const UserJob& job, const HttpResponse& response,
-                                         bool is_poll) {
-  if (response.status == 404 && job.is_accepted()) simulation_.add_violation("forgotten: " + job.id());
+                                           bool is_poll) {
+  if (response.status == 404 && job.is_accepted())
+    simulation_.add_violation("forgotten: " + job.id());
   if (response.status != 200 && response.status != 201) return Outcome::kNone;
   const json body = json::parse(response.body, nullptr, false);
   if (!body.is_object()) {
@@ -53,8 +56,8 @@
   if (is_poll && !job.is_accepted() && job.submit_status == 0)
     simulation_.add_violation("invented: " + job.id());
   if (job.has_final_status() && outcome != job.outcome)
-    simulation_.add_violation("went_back: " + job.id() + " was " + wire_name(job.outcome) + ", is " +
-                          status);
+    simulation_.add_violation("went_back: " + job.id() + " was " + wire_name(job.outcome) +
+                              ", is " + status);
   if (outcome == Outcome::kDone && ledger_.done_at(job.id()) < 0)
     simulation_.add_violation("not_done: " + job.id());
   if (outcome == Outcome::kCancelled && !job.cancel_requested)
@@ -87,8 +90,9 @@
 void RuleChecker::before_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) {
   for (const auto& [machine, other_attempt] : ledger_.machines_of(task))
     simulation_.add_violation("ran_twice: " + task.job + "/" + std::to_string(task.index) +
-                          " attempt " + std::to_string(attempt) + " starts on " + worker.name +
-                          " while attempt " + std::to_string(other_attempt) + " is on " + machine);
+                              " attempt " + std::to_string(attempt) + " starts on " + worker.name +
+                              " while attempt " + std::to_string(other_attempt) + " is on " +
+                              machine);
 }
 
 void RuleChecker::after_task_start(const Worker& worker, const TaskKey& task) {
--- a/tests/standins/rule_checker.h
+++ b/tests/standins/rule_checker.h
@@ -1,5 +1,6 @@
-// Checks the rules of the protocol during a run, from what workers actually run and what controllers
-// respond to users. It does not use the controllers' own records, so it finds faults in them.
+// Checks the rules of the protocol during a run, from what workers actually run and what
+// controllers respond to users. It does not use the controllers' own records, so it finds faults in
+// them.
 #pragma once
 
 #include <cstdint>
@@ -49,8 +50,8 @@
   void check_cancelled_jobs();
 
  private:
-  // Returns whether a controller may accept the job: it has all required fields and a known team, and
-  // fits the team's limit and some machine type.
+  // Returns whether a controller may accept the job: it has all required fields and a known team,
+  // and fits the team's limit and some machine type.
   bool can_run(const UserJob& job) const;
   // Returns whether a task of the job can run on machines of the type.
   bool fits(const UserJob& job, const TypeSpec& type) const;
--- a/tests/standins/simulation.h
+++ b/tests/standins/simulation.h
@@ -1,5 +1,5 @@
-// The state shared by all parts of a simulated deployment: the event queue with its clock, the random
-// number generator, and the list of violations.
+// The state shared by all parts of a simulated deployment: the event queue with its clock, the
+// random number generator, and the list of violations.
 #pragma once
 
 #include <string>
--- a/tests/standins/starvation_check.cc
+++ b/tests/standins/starvation_check.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr double kMaxPendingSeconds = 30;     // s
-constexpr double kSettleSeconds = 30;  // s from a machine's boot until it has to be used
+constexpr double kMaxPendingSeconds = 30;
+constexpr double kSettleSeconds = 30;  // from a machine's boot until it is expected to be used
 
 }  // namespace
 
@@ -39,7 +39,6 @@
   return usage;
 }
 
-// Whether the job has tasks that are neither done nor running, within its team's limit.
 bool StarvationCheck::has_startable_tasks(const UserJob& job, Usage& usage) const {
   if (!job.is_accepted() || job.has_final_status() || job.cancel_requested || job.one_zone ||
       job.workload.fails || job.workload.is_gang())
@@ -58,7 +57,8 @@
   });
 }
 
-bool StarvationCheck::has_capacity(const UserJob& job, const Worker& worker, int tasks_in_zone) const {
+bool StarvationCheck::has_capacity(const UserJob& job, const Worker& worker,
+                                   int tasks_in_zone) const {
   const bool in_service = !worker.dead && !worker.faulty && !worker.reclaim_at &&
                           simulation_.now() - worker.booted_at() > kSettleSeconds;
   const bool allowed = (!worker.spot || job.spot) && job.allows_zone(worker.zone) &&
--- a/tests/standins/starvation_check.h
+++ b/tests/standins/starvation_check.h
@@ -1,4 +1,4 @@
-// Checks that no job waits while there is room for it.
+// Checks that no job stays pending while there is capacity for it.
 #pragma once
 
 #include <map>
@@ -12,20 +12,23 @@
 
 namespace standins {
 
-// Once all faults are over, no job may wait for half a minute while a machine that fits has room
-// for one of its tasks and its team is under its limit. (Users allow 90 s with heartbeats every few
-// seconds; here they come every second.) Gangs, jobs that need one zone and jobs that fail are left
-// out: for them, room for one task is not enough.
+// After all faults have ended, no job may have pending tasks for more than 30 s while a suitable
+// machine has capacity for one of them and the job's team is below its limit. The requirement of
+// users is 90 s with heartbeats every few seconds; simulated heartbeats are sent every second.
+// Gangs, jobs that require one zone and jobs whose tasks fail are not checked: capacity for one
+// task does not suffice for them.
 class StarvationCheck {
  public:
   StarvationCheck(Simulation& simulation, const UserJobs& jobs, const TeamQuotas& teams,
                   const TaskLedger& ledger, const MachineFleet& fleet)
       : simulation_(simulation), jobs_(jobs), teams_(teams), ledger_(ledger), fleet_(fleet) {}
 
-  // To be called about once a second. `faults_end` is when the last fault known so far ends.
+  // Runs the check; call about once per second. `faults_end` is when the last fault known so far
+  // ends.
   void check(double faults_end);
 
  private:
+  // What the running tasks use.
   struct Usage {
     std::map<std::string, double> cpus_by_team;
     std::map<std::string, int> running_by_job;
@@ -33,8 +36,13 @@
   };
 
   Usage current_usage() const;
+  // Returns whether the job has tasks that are neither done nor running, and its team's limit
+  // allows to start one.
   bool has_startable_tasks(const UserJob& job, Usage& usage) const;
+  // Returns whether the worker may run one more task of the job, which has `tasks_in_zone` in its
+  // zone.
   bool has_capacity(const UserJob& job, const Worker& worker, int tasks_in_zone) const;
+  // Returns whether any worker may run one more task of the job.
   bool any_machine_has_capacity(const UserJob& job, Usage& usage) const;
 
   Simulation& simulation_;
@@ -42,7 +50,8 @@
   const TeamQuotas& teams_;
   const TaskLedger& ledger_;
   const MachineFleet& fleet_;
-  std::map<std::string, double> pending_since_;  // jobs that wait though there is room
+  std::map<std::string, double>
+      pending_since_;  // start of the current wait, by ID of jobs that could start a task
 };
 
 }  // namespace standins
--- a/tests/standins/task_ledger.h
+++ b/tests/standins/task_ledger.h
@@ -1,4 +1,4 @@
-// What really happens to tasks: on which machines they are, what they have saved, what is done.
+// The actual state of tasks: the machines they are on, their saved progress and their completion.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,30 @@
 
 namespace standins {
 
-// Is told what happens to tasks. No observer calls back into the ledger's changing methods.
+// Is notified of events of tasks. Observers must not call methods that modify the ledger.
 class TaskObserver {
  public:
   virtual ~TaskObserver() = default;
-  // The ledger has no record of this start yet.
+  // Called before the ledger records the start.
   virtual void before_task_start(const Worker&, const TaskKey&, uint64_t /*attempt*/) {}
+  // Called after the ledger has recorded the start.
   virtual void after_task_start(const Worker&, const TaskKey&) {}
+  // Called when the last task of a job completes.
   virtual void on_job_done(const std::string& /*job*/) {}
 };
 
-// Machines that a task is on, and its attempt there. More than one breaks the protocol's rules.
+// The attempt of a task on each machine that it is on, by machine name. More than one entry
+// violates the protocol.
 using TaskMachines = std::map<std::string, uint64_t>;
 
-// Filled by the workers alone, so that it can be held against what the controllers say.
+// Records only what workers do, so that it is independent of the controllers' records and can be
+// used to check them.
 class TaskLedger : public WorkerEnvironment {
  public:
   TaskLedger(Simulation& simulation, const UserJobs& jobs) : simulation_(simulation), jobs_(jobs) {}
 
-  // Observers outlive the ledger and are told in the order in which they were added.
+  // Adds an observer, which must outlive the ledger. Observers are notified in the order of
+  // addition.
   void add_observer(TaskObserver& observer) { observers_.push_back(&observer); }
 
   const Workload* find_workload(const std::string& job) const override;
@@ -44,17 +49,22 @@
   void save_progress(const TaskKey& task, double progress_s) override;
   GangAttempt& gang_attempt(const TaskKey& task, uint64_t attempt) override;
 
-  // A gang has started when all its tasks run. Looks for those that have.
+  // Records the start times of gangs that have started, which is when all their tasks are ready.
   void record_gang_starts();
 
-  // Every task that was on a machine ever; no machines if it is on none now.
+  // Returns all tasks that were ever on a machine, with the machines that they are on now, if any.
   const std::map<TaskKey, TaskMachines>& machines_by_task() const { return machines_by_task_; }
+  // Returns the machines that a task is on.
   const TaskMachines& machines_of(const TaskKey& task) const;
+  // Returns how many tasks of a job are on machines.
   int running_tasks(const std::string& job) const;
+  // Returns how many tasks of a job have completed.
   int completed_tasks(const Workload& workload) const;
+  // Returns how many task starts of a job were recorded, including repeated ones.
   int starts_of(const std::string& job) const;
+  // Returns how many tasks started after a response had reported their job cancelled.
   int starts_after_cancel() const { return starts_after_cancel_; }
-  // -1 until then.
+  // Return when the job started and when its last task completed; -1 if that has not happened.
   double started_at(const std::string& job) const;
   double done_at(const std::string& job) const;
 
@@ -69,7 +79,7 @@
     int starts = 0;  // of all its tasks
   };
 
-  // The tasks of a gang share the progress of its first.
+  // Returns the key of the task's saved progress. The tasks of a gang share that of its first task.
   TaskKey progress_key(const TaskKey& task) const;
 
   Simulation& simulation_;
--- a/tests/standins/unexpected_requests.cc
+++ b/tests/standins/unexpected_requests.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double kRequestIntervalSeconds = 0.3;     // s between requests
-constexpr double kTooManyCpus = 1e6;  // more than any machine has
+constexpr double kRequestIntervalSeconds = 0.3;
+constexpr double kTooManyCpus = 1e6;  // more than any machine type has
 
 struct InvalidJob {
   json body;
@@ -63,15 +63,17 @@
   }
 }
 
-// A repeat that differs is a repeat all the same.
+// A submission with the ID of an accepted job counts as a repetition even if other fields differ.
 void UnexpectedRequests::repeat_submission(size_t controller, const UserJob& job) {
   json body = job.body;
   if (simulation_.random.index(2) == 0) body["cores"] = kTooManyCpus;
   users_.request(controller, {"POST", "/api/jobs", body.dump()},
-                 [this, id = job.id(), had_final_status = job.has_final_status()](const HttpResponse& response) {
+                 [this, id = job.id(),
+                  had_final_status = job.has_final_status()](const HttpResponse& response) {
                    if (response.status == 201 || response.status == 400 || response.status == 422)
-                     return simulation_.add_violation("forgotten: a repeat of " + id + " answered " +
-                                                  std::to_string(response.status));
+                     return simulation_.add_violation("forgotten: a repeated submission of " + id +
+                                                      " answered " +
+                                                      std::to_string(response.status));
                    if (had_final_status || !jobs_.at(id).has_final_status())
                      users_.process_response(id, response, false);
                  });
--- a/tests/standins/unexpected_requests.h
+++ b/tests/standins/unexpected_requests.h
@@ -1,4 +1,4 @@
-// Requests that users make by mistake or out of habit, and the answers they must get.
+// Sends user requests that are invalid, repeated or concern unknown jobs, and checks the responses.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,18 +12,21 @@
 
 namespace standins {
 
-// Repeats of accepted jobs, also changed ones; cancellations of jobs that are done; questions about
-// jobs that nobody submitted; jobs that fit no machine, belong to no team or lack a field.
+// The requests are: repeated submissions of accepted jobs, some with changes; cancellations of done
+// jobs; status requests and cancellations of jobs that were never submitted; submissions of jobs
+// that fit no machine, have an unknown team, lack a field or have an invalid value.
 class UnexpectedRequests {
  public:
   UnexpectedRequests(Simulation& simulation, ControllerCluster& cluster, Users& users,
-              const UserJobs& jobs)
+                     const UserJobs& jobs)
       : simulation_(simulation), cluster_(cluster), users_(users), jobs_(jobs) {}
 
-  // Sends such requests until then, or longer if an earlier call said so.
+  // Sends such requests at a fixed interval until `time`, or later if an earlier call requested
+  // that.
   void send_until(double time);
 
  private:
+  // Sends a request of a random kind about a random job, and schedules the next.
   void send_next();
   void repeat_submission(size_t controller, const UserJob& job);
   void cancel_done_job(size_t controller, const UserJob& job);
--- a/tests/standins/users.cc
+++ b/tests/standins/users.cc
@@ -8,11 +8,12 @@
 
 namespace {
 
-constexpr double kSubmitTimeoutSeconds = 60;      // until a user stops trying to submit a job
+constexpr double kSubmitTimeoutSeconds = 60;  // until a user stops trying to submit a job
 constexpr double kRequestTimeoutSeconds = 5;
 constexpr double kPollTimeoutSeconds = 2;
-constexpr double kRetryIntervalSeconds = 1;   // unless the response has a longer Retry-After
-constexpr double kPollIntervalSeconds = 1, kFinalPollIntervalSeconds = 7;  // before and after the final status
+constexpr double kRetryIntervalSeconds = 1;  // unless the response has a longer Retry-After
+constexpr double kPollIntervalSeconds = 1,
+                 kFinalPollIntervalSeconds = 7;  // before and after the final status
 
 }  // namespace
 
@@ -47,7 +48,8 @@
           });
 }
 
-void Users::on_submit_response(const std::string& job_id, const HttpResponse& response, bool had_final_status) {
+void Users::on_submit_response(const std::string& job_id, const HttpResponse& response,
+                               bool had_final_status) {
   UserJob& job = jobs_.at(job_id);
   job.submit_status = response.status;
   rules_.check_submit_response(job, response);
@@ -62,7 +64,8 @@
       if (had_final_status || !job.has_final_status()) process_response(job_id, response, false);
       return retry_after(kPollIntervalSeconds, &Users::poll, job_id);
     default:
-      retry_after(std::max(kRetryIntervalSeconds, response.retry_after_s), &Users::try_submit, job_id);
+      retry_after(std::max(kRetryIntervalSeconds, response.retry_after_s), &Users::try_submit,
+                  job_id);
   }
 }
 
@@ -75,10 +78,12 @@
                      if (had_final_status || !jobs_.at(job_id).has_final_status())
                        process_response(job_id, response, true);
                    });
-  retry_after(had_final_status ? kFinalPollIntervalSeconds : kPollIntervalSeconds, &Users::poll, job_id);
+  retry_after(had_final_status ? kFinalPollIntervalSeconds : kPollIntervalSeconds, &Users::poll,
+              job_id);
 }
 
-void Users::process_response(const std::string& job_id, const HttpResponse& response, bool is_poll) {
+void Users::process_response(const std::string& job_id, const HttpResponse& response,
+                             bool is_poll) {
   UserJob& job = jobs_.at(job_id);
   if (response.status == 200 || response.status == 201) job.last_response_at = simulation_.now();
   const Outcome outcome = rules_.check_status_response(job, response, is_poll);
@@ -99,7 +104,8 @@
   request(*controller, {"POST", "/api/jobs/" + job_id + "/cancel", ""},
           [this, job_id](const HttpResponse& response) {
             if (response.status == 200) return process_response(job_id, response, false);
-            retry_after(std::max(kRetryIntervalSeconds, response.retry_after_s), &Users::try_cancel, job_id);
+            retry_after(std::max(kRetryIntervalSeconds, response.retry_after_s), &Users::try_cancel,
+                        job_id);
           });
 }
 
--- a/tests/standins/users.h
+++ b/tests/standins/users.h
@@ -19,13 +19,14 @@
   Users(Simulation& simulation, ControllerCluster& cluster, RuleChecker& rules, UserJobs& jobs)
       : simulation_(simulation), cluster_(cluster), rules_(rules), jobs_(jobs) {}
 
-  // Submits a job, with retries for up to a minute until it is accepted or rejected. Polls its status
-  // once it is accepted.
+  // Submits a job, with retries for up to a minute until it is accepted or rejected. Polls its
+  // status once it is accepted.
   void submit(UserJob job);
   // Requests the job's cancellation, with retries until it is acknowledged.
   void cancel(const std::string& job_id);
-  // Checks a response that reports the job's status and updates the user's view of the job. `is_poll`
-  // is true for the response to a status request, false for that to a submission or cancellation.
+  // Checks a response that reports the job's status and updates the user's view of the job.
+  // `is_poll` is true for the response to a status request, false for that to a submission or
+  // cancellation.
   void process_response(const std::string& job_id, const HttpResponse& response, bool is_poll);
   // Makes users cancel each job, with this probability, at the moment its last task completes.
   void set_cancel_on_completion(double probability) { cancel_on_completion_ = probability; }
@@ -34,7 +35,8 @@
   void request(size_t controller, HttpRequest request,
                const ControllerCluster::ResponseHandler& on_response);
 
-  // Returns whether each job has a final status, was rejected, or was not accepted within the time limit.
+  // Returns whether each job has a final status, was rejected, or was not accepted within the time
+  // limit.
   bool are_all_jobs_finished() const;
 
   // Cancels the job with the probability set by set_cancel_on_completion().
@@ -42,7 +44,8 @@
 
  private:
   void try_submit(const std::string& job_id);
-  void on_submit_response(const std::string& job_id, const HttpResponse& response, bool had_final_status);
+  void on_submit_response(const std::string& job_id, const HttpResponse& response,
+                          bool had_final_status);
   void try_cancel(const std::string& job_id);
   void poll(const std::string& job_id);
   // Calls `action` with the job's ID after a delay.
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr double kMinHeartbeatIntervalSeconds = 0.5;  // between heartbeats caused by changes
-constexpr double kRedirectDelaySeconds = 0.1;         // until the heartbeat to the controller named in a response
-constexpr double kRetryDelaySeconds = 1;              // until a heartbeat to the next controller
-constexpr double kFailureSeconds = 0.3;           // until a failing task exits
-constexpr double kCpuTolerance = 1e-9;             // for rounding errors of sums
+constexpr double kRedirectDelaySeconds =
+    0.1;  // until the heartbeat to the controller named in a response
+constexpr double kRetryDelaySeconds = 1;  // until a heartbeat to the next controller
+constexpr double kFailureSeconds = 0.3;   // until a failing task exits
+constexpr double kCpuTolerance = 1e-9;    // for rounding errors of sums
 
 TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
@@ -134,8 +135,8 @@
   return false;
 }
 
-// The tasks of a gang save their progress together or not at all: one that was not stopped in time, or
-// was lost, prevents it.
+// The tasks of a gang save their progress together or not at all: one that was not stopped in time,
+// or was lost, prevents it.
 bool Worker::save_with_gang(Task& task, const Workload& workload, GangAttempt& gang) {
   if (task.phase != Phase::kSaving || now_ - task.phase_since < workload.save_s) return false;
   const bool all_told = static_cast<int>(gang.stopped_with_grace.size()) == workload.tasks;
@@ -148,8 +149,8 @@
   return true;
 }
 
-// Other tasks notice with a delay that a task was lost, or that not all tasks were stopped with enough
-// time to save.
+// Other tasks notice with a delay that a task was lost, or that not all tasks were stopped with
+// enough time to save.
 bool Worker::is_gang_broken(const Workload& workload, const GangAttempt& gang) const {
   if (gang.saved) return false;
   if (gang.task_lost_at >= 0 && now_ - gang.task_lost_at > times_.gang_peer_s / 2) return true;
@@ -165,8 +166,8 @@
   gang.progress = task.progress;
 }
 
-// The loss of a task ends the attempt of a gang that has started; in a gang that has not started, the
-// task can be replaced.
+// The loss of a task ends the attempt of a gang that has started; in a gang that has not started,
+// the task can be replaced.
 void Worker::leave_gang(const Task& task) {
   const Workload* workload = environment_.find_workload(task.key.job);
   if (workload == nullptr || !workload->is_gang()) return;
@@ -263,7 +264,7 @@
 }
 
 void Worker::on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
-                                 uint64_t sent_epoch) {
+                                   uint64_t sent_epoch) {
   heartbeat_in_flight_ = false;
   if (dead) return;
   const json body = json::parse(response.body, nullptr, false);
@@ -292,8 +293,8 @@
   next_heartbeat_ = next_heartbeat_allowed_ = now + kRetryDelaySeconds;
 }
 
-// A new token causes an immediate heartbeat, but at most one in half a lease, so that frequent changes
-// of the token do not cause a heartbeat each.
+// A new token causes an immediate heartbeat, but at most one in half a lease, so that frequent
+// changes of the token do not cause a heartbeat each.
 void Worker::observe_fencing_token(uint64_t token) {
   if (token <= fencing_token_) return;
   fencing_token_ = token;
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -17,8 +17,8 @@
 
 class Worker;
 
-// Gives a worker access to what it shares with the rest of the deployment: workloads of jobs, results,
-// saved progress, and the state of gangs.
+// Gives a worker access to what it shares with the rest of the deployment: workloads of jobs,
+// results, saved progress, and the state of gangs.
 class WorkerEnvironment {
  public:
   virtual ~WorkerEnvironment() = default;
@@ -46,9 +46,9 @@
   double gang_peer_s = 2;   // time within which gang tasks notice a loss or stop of another
 };
 
-// Runs simulated tasks on a machine, sends heartbeats and executes commands. It executes only commands
-// that carry its agent epoch and a fencing token at least as high as the highest it has seen. When its
-// lease expires, it ends all its tasks and starts a new agent epoch.
+// Runs simulated tasks on a machine, sends heartbeats and executes commands. It executes only
+// commands that carry its agent epoch and a fencing token at least as high as the highest it has
+// seen. When its lease expires, it ends all its tasks and starts a new agent epoch.
 class Worker {
  public:
   // `environment` outlives the worker.
@@ -65,10 +65,10 @@
   // Returns the body of a heartbeat to the current controller and marks it as in flight.
   std::string make_heartbeat(double now);
   // Processes the response to a heartbeat: renews the lease and executes commands, or switches to
-  // another controller. `response` has status 0 if none was received. `sent_at` and `sent_epoch` are
-  // the time and the agent epoch at which the heartbeat was sent.
+  // another controller. `response` has status 0 if none was received. `sent_at` and `sent_epoch`
+  // are the time and the agent epoch at which the heartbeat was sent.
   void on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
-                           uint64_t sent_epoch);
+                             uint64_t sent_epoch);
   // Returns the response to a controller's commands or inspection.
   HttpResponse handle_request(double now, const HttpRequest& request);
 
@@ -82,11 +82,11 @@
   const bool spot;
   std::vector<std::string> controllers;  // labels of all controllers
   size_t current_controller = 0;         // index of the one that receives the heartbeats
-  bool dead = false;                 // the machine has been terminated
-  bool hanging = false;              // executes and sends nothing; its lease may expire
-  bool faulty = false;               // every task fails
-  std::optional<double> reclaim_at;  // when the cloud takes the machine back, if it gave notice
-  uint64_t agent_epoch = 1;  // raised each time the lease expires
+  bool dead = false;                     // the machine has been terminated
+  bool hanging = false;                  // executes and sends nothing; its lease may expire
+  bool faulty = false;                   // every task fails
+  std::optional<double> reclaim_at;      // when the cloud takes the machine back, if it gave notice
+  uint64_t agent_epoch = 1;              // raised each time the lease expires
 
  private:
   enum class Phase { kFetching, kWaitingForGang, kRunning, kSaving, kExited };
@@ -97,10 +97,10 @@
     Phase phase = Phase::kFetching;
     std::string exit_cause;
     bool saved = false;      // its progress was saved when it was stopped
-    double phase_since = 0;  // start of the current phase; of kFetching: the start command
+    double phase_since = 0;  // start of the phase; of a running gang task: of its wait for the gang
     double progress = 0;     // seconds of work at phase_since
-    // Returns whether the task counts as on the machine for the protocol's rules: it runs, or may start
-    // to run at any moment.
+    // Returns whether the task counts as on the machine for the protocol's rules: it runs, or may
+    // start to run at any moment.
     bool is_on_machine() const { return phase != Phase::kFetching && phase != Phase::kExited; }
   };
 
@@ -112,8 +112,8 @@
   void advance_gang_task(Task& task, const Workload& workload);
   // Returns whether the gang has started. Otherwise the task waits, or exits after gang_wait_s.
   bool wait_for_gang(Task& task, const GangAttempt& gang);
-  // Saves the progress of a stopped gang and exits, if the whole gang can be saved. Returns whether the
-  // task has exited.
+  // Saves the progress of a stopped gang and exits, if the whole gang can be saved. Returns whether
+  // the task has exited.
   bool save_with_gang(Task& task, const Workload& workload, GangAttempt& gang);
   // Returns whether the task has to exit because another task was lost or not stopped in time.
   bool is_gang_broken(const Workload& workload, const GangAttempt& gang) const;
@@ -149,7 +149,7 @@
   uint64_t fencing_token_ = 0;                   // the highest seen
   double last_token_change_ = -1e9;
   uint64_t report_sequence_ = 0;
-  bool has_unreported_changes_ = true;  // a heartbeat is due early
+  bool has_unreported_changes_ = true;  // since the last heartbeat
   bool heartbeat_in_flight_ = false;
   double next_heartbeat_ = 0, next_heartbeat_allowed_ = 0;
 };
--- a/tests/standins/world.cc
+++ b/tests/standins/world.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double kStepSeconds = 0.02;            // between steps of machines and checks
-constexpr double kStarvationCheckIntervalSeconds = 1;  
+constexpr double kStepSeconds = 0.02;  // between steps of machines and checks
+constexpr double kStarvationCheckIntervalSeconds = 1;
 
 }  // namespace
 
--- a/tests/standins/world_options.h
+++ b/tests/standins/world_options.h
@@ -26,10 +26,11 @@
   // The limits that the store has announced to apply later, lower than store_limits, if any.
   std::optional<StoreLimits> announced_store_limits;
   double cloud_requests_per_s = 5;  // request rate above which the cloud responds 429
-  double cloud_list_lag_s = 3;  // maximum age of the machine list that the cloud returns
+  double cloud_list_lag_s = 3;      // maximum age of the machine list that the cloud returns
   uint64_t seed = 1;
-  bool verbose = false;        // print the controllers' logs to stderr
-  bool first_version = false;  // start all controllers with the first version, which predates upgrade records
+  bool verbose = false;  // print the controllers' logs to stderr
+  bool first_version =
+      false;  // start all controllers with the first version, which predates upgrade records
 };
 
 }  // namespace standins
