--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -47,7 +47,7 @@
   std::vector<TypeSpec> types;                              // the catalog
   std::map<std::string, CloudMachine> machines;             // all ever rented, by name
   std::vector<std::string> newly_booted, newly_terminated;  // names; emptied by the reader
-  bool outage = false;                                      // every request is answered with 503
+  bool outage = false;                                      // the response to every request is 503
   int boots_to_prevent = 0;  // how many of the next rented machines never boot
 
  private:
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -136,9 +136,9 @@
 
 void ControllerCluster::request(size_t controller, HttpRequest request, double timeout_s,
                                 const ResponseHandler& on_response) {
-  auto answered = std::make_shared<bool>(false);
-  const ResponseHandler respond_once = [answered, on_response](const HttpResponse& response) {
-    if (std::exchange(*answered, true)) return;
+  auto has_responded = std::make_shared<bool>(false);
+  const ResponseHandler respond_once = [has_responded, on_response](const HttpResponse& response) {
+    if (std::exchange(*has_responded, true)) return;
     on_response(response);
   };
   if (!process(controller).core) {
--- a/tests/standins/deployment_settings.cc
+++ b/tests/standins/deployment_settings.cc
@@ -8,12 +8,12 @@
 
 std::string label_of(size_t controller) { return "c" + std::to_string(controller); }
 
-void set_store_limits(PlatformSettings& platform, const StoreLimits& present,
+void set_store_limits(PlatformSettings& platform, const StoreLimits& current,
                       const StoreLimits& announced) {
-  platform.state_write_rps = present.writes_per_s;
+  platform.state_write_rps = current.writes_per_s;
   platform.state_next_write_rps = announced.writes_per_s;
   platform.state_txn_ops = announced.transaction_writes;
-  platform.state_present_value_bytes = present.value_bytes;
+  platform.state_present_value_bytes = current.value_bytes;
   platform.state_value_bytes = announced.value_bytes;
 }
 
@@ -44,15 +44,15 @@
 std::vector<ControllerSettings> make_settings(const WorldOptions& options,
                                               const std::vector<std::string>& zones,
                                               const TeamQuotas& teams) {
-  const StoreLimits& present = options.store_limits;
-  const StoreLimits announced = options.announced_store_limits.value_or(present);
+  const StoreLimits& current = options.store_limits;
+  const StoreLimits announced = options.announced_store_limits.value_or(current);
   std::vector<ControllerSettings> all;
   for (size_t i = 0; i < options.controllers; ++i) {
     ControllerSettings settings;
     settings.first.platform = make_platform(i, options, zones, teams);
     settings.current = settings.first;
-    set_store_limits(settings.first.platform, present, present);
-    set_store_limits(settings.current.platform, present, announced);
+    set_store_limits(settings.first.platform, current, current);
+    set_store_limits(settings.current.platform, current, announced);
     all.push_back(std::move(settings));
   }
   return all;
--- a/tests/standins/fault_injector.cc
+++ b/tests/standins/fault_injector.cc
@@ -192,7 +192,7 @@
 
 void FaultInjector::cancel_running_jobs(int count, double hang_s) {
   constexpr size_t kMaxHangingMachines = 8;
-  constexpr double kCancelWindowSeconds = 0.2;  // s
+  constexpr double kCancelWindowSeconds = 0.2;
   std::vector<std::string> running;
   for (const auto& [id, job] : targets_.jobs)
     if (job.is_accepted() && !job.has_final_status() && !job.cancel_requested &&
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -65,8 +65,8 @@
 // Later responses are ignored, as are responses to a process that has been restarted since.
 MessageRouter::ResponseHandler MessageRouter::respond_once(size_t from, uint64_t call_id) {
   return [this, from, call_id, generation = cluster_.generation(from),
-          answered = std::make_shared<bool>(false)](const HttpResponse& response) {
-    if (std::exchange(*answered, true)) return;
+          has_responded = std::make_shared<bool>(false)](const HttpResponse& response) {
+    if (std::exchange(*has_responded, true)) return;
     if (cluster_.generation(from) != generation) return;
     cluster_.deliver(from, CallDone{call_id, response.status, response.body, false});
   };
--- a/tests/standins/network.cc
+++ b/tests/standins/network.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kMinLatencySeconds = 0.0005, kMaxLatencySeconds = 0.004;  // s
+constexpr double kMinLatencySeconds = 0.0005, kMaxLatencySeconds = 0.004;
 
 Link link_to(Target target) {
   switch (target) {
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -32,7 +32,7 @@
   const bool rejected = response.status == 400 || response.status == 422;
   const bool accepted = response.status == 200 || response.status == 201;
   if (rejected && job.is_accepted())
-    simulation_.add_violation("forgotten: " + job.id() + " answered " +
+    simulation_.add_violation("forgotten: " + job.id() + " received status " +
                               std::to_string(response.status));
   if (accepted && !can_run(job))
     simulation_.add_violation("accepted a job that cannot run or lacks a required field: " +
--- a/tests/standins/unexpected_requests.cc
+++ b/tests/standins/unexpected_requests.cc
@@ -72,7 +72,7 @@
                   had_final_status = job.has_final_status()](const HttpResponse& response) {
                    if (response.status == 201 || response.status == 400 || response.status == 422)
                      return simulation_.add_violation("forgotten: a repeated submission of " + id +
-                                                      " answered " +
+                                                      " received status " +
                                                       std::to_string(response.status));
                    if (had_final_status || !jobs_.at(id).has_final_status())
                      users_.process_response(id, response, false);
@@ -107,7 +107,8 @@
       [this, expected = job.expected_status, text = job.body.dump()](const HttpResponse& response) {
         const bool asked_to_retry = response.status == 503 && response.retry_after_s > 0;
         if (response.status != expected && response.status != 0 && !asked_to_retry)
-          simulation_.add_violation("answered " + std::to_string(response.status) + " to " + text);
+          simulation_.add_violation("received status " + std::to_string(response.status) + " for " +
+                                    text);
       });
 }
 
