--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -89,7 +89,7 @@
 // Each replica of every service that nobody asked to cancel runs.
 void services_fully_running(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs()) {
-    if (!job.workload.is_service() || !job.is_accepted() || job.cancel_requested) continue;
+    if (!job.workload.is_service() || !job.is_accepted() || job.is_cancel_requested) continue;
     const int got = world.ledger().running_tasks(id);
     if (got != job.workload.tasks) fail(line, id + ": " + std::to_string(got) + " running");
   }
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -72,7 +72,7 @@
 
 HttpResponse Cloud::handle(double now, const HttpRequest& request) {
   tick(now);
-  if (outage) return {503, "{\"error\":\"trouble\"}"};
+  if (has_outage) return {503, "{\"error\":\"trouble\"}"};
   if (request_budget_ < 1) return {429, "{}"};
   request_budget_ -= 1;
   if (request.method == "GET")
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -47,7 +47,7 @@
   std::vector<TypeSpec> types;                              // the catalog
   std::map<std::string, CloudMachine> machines;             // all ever rented, by name
   std::vector<std::string> newly_booted, newly_terminated;  // names; emptied by the reader
-  bool outage = false;                                      // the response to every request is 503
+  bool has_outage = false;                                  // the response to every request is 503
   int boots_to_prevent = 0;  // how many of the next rented machines never boot
 
  private:
@@ -72,8 +72,8 @@
   double requests_per_s_, list_lag_s_;
   double request_budget_ = -1;  // -1: not filled yet
   double last_tick_ = 0;
-  std::map<std::string, std::string>
-      rent_responses_;                       // by request ID; a repeated request rents nothing more
+  // By request ID; a repeated request gets the same response and rents nothing more.
+  std::map<std::string, std::string> rent_responses_;
   std::deque<ListSnapshot> list_snapshots_;  // oldest first; the first is returned to readers
   int next_machine_ = 1;
 };
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -48,7 +48,7 @@
   Process& proc = process(controller);
   ++proc.generation;
   proc.inbox.clear();
-  proc.batch_scheduled = false;
+  proc.is_batch_scheduled = false;
   proc.running_settings =
       proc.version == ControllerVersion::kFirst ? proc.settings.first : proc.settings.current;
   proc.core = std::make_unique<Controller>(proc.running_settings, simulation_.random.next(),
@@ -61,7 +61,7 @@
   ++proc.generation;
   proc.core.reset();
   proc.inbox.clear();
-  proc.batch_scheduled = false;
+  proc.is_batch_scheduled = false;
   const auto pending_requests = std::exchange(proc.pending_requests, {});
   for (const auto& [id, on_response] : pending_requests) on_response({});
   for (size_t i = 0; i < processes_.size(); ++i)
@@ -83,8 +83,8 @@
   Process& proc = process(controller);
   if (!proc.core) return;
   proc.inbox.push_back(std::move(command));
-  if (proc.batch_scheduled) return;
-  proc.batch_scheduled = true;
+  if (proc.is_batch_scheduled) return;
+  proc.is_batch_scheduled = true;
   simulation_.events.after(kBatchDelaySeconds, [this, controller, generation = proc.generation] {
     run_batch(controller, generation);
   });
@@ -98,7 +98,7 @@
                           [this, controller, generation] { run_batch(controller, generation); });
     return;
   }
-  proc.batch_scheduled = false;
+  proc.is_batch_scheduled = false;
   const std::vector<Command> batch = std::exchange(proc.inbox, {});
   proc.core->run(batch, clocks_of(controller, simulation_.now()));
   handle_effects(controller);
--- a/tests/standins/controller_cluster.h
+++ b/tests/standins/controller_cluster.h
@@ -35,7 +35,9 @@
 class EffectsHandler {
  public:
   virtual ~EffectsHandler() = default;
+  // Called for each message to another controller.
   virtual void on_peer_message(size_t from, const rooksill::runtime::PeerSend& message) = 0;
+  // Called for each call to the store, the cloud or a worker.
   virtual void on_call(size_t from, const rooksill::runtime::Call& call) = 0;
 };
 
@@ -73,6 +75,7 @@
   std::vector<std::string> labels() const;
   // Returns the version that is set, which a running process uses from its next start on.
   ControllerVersion version(size_t controller) const { return process(controller).version; }
+  // Returns the label of a controller.
   const std::string& label(size_t controller) const { return process(controller).label; }
   // Returns a number that increases each time the process ends or starts.
   uint64_t generation(size_t controller) const { return process(controller).generation; }
@@ -95,7 +98,7 @@
     ControllerVersion version = ControllerVersion::kCurrent;
     uint64_t generation = 0;
     std::vector<rooksill::runtime::Command> inbox;
-    bool batch_scheduled = false;
+    bool is_batch_scheduled = false;
     double frozen_until = 0;
     std::map<uint64_t, ResponseHandler> pending_requests;  // by request ID
     uint64_t next_request = 1;
@@ -107,6 +110,7 @@
   void boot(size_t controller);
   // Runs the queued inputs as one batch, unless the process has ended since they were queued.
   void run_batch(size_t controller, uint64_t generation);
+  // Schedules the next periodic tick.
   void schedule_tick(size_t controller, uint64_t generation);
   // Delivers the responses, messages and calls of the last batch.
   void handle_effects(size_t controller);
@@ -119,8 +123,8 @@
   Network& network_;
   bool verbose_;
   EffectsHandler* handler_ = nullptr;
-  std::vector<Process>
-      processes_;  // not resized after start(): cores hold references to its settings
+  // Not resized after start(), because cores hold references to the settings in it.
+  std::vector<Process> processes_;
   EffectsDigest effects_digest_;
 };
 
--- a/tests/standins/end_of_day_checks.cc
+++ b/tests/standins/end_of_day_checks.cc
@@ -18,7 +18,7 @@
 void EndOfDayChecks::run(double faults_end) {
   std::map<std::string, JobList> by_class, by_team;
   for (const auto& [id, job] : jobs_) {
-    if (!job.is_accepted() || job.cancel_requested) continue;
+    if (!job.is_accepted() || job.is_cancel_requested) continue;
     check_recent_response(job, faults_end);
     if (simulation_.now() - std::max(job.submitted_at, faults_end) < kMinObservationSeconds)
       continue;
--- a/tests/standins/fault_injector.cc
+++ b/tests/standins/fault_injector.cc
@@ -18,7 +18,7 @@
 void FaultInjector::apply_to_machines(int count, const std::function<bool(Worker&)>& apply) {
   for (const auto& [name, worker] : targets_.fleet.workers()) {
     if (count <= 0) return;
-    if (!worker->dead && apply(*worker)) --count;
+    if (!worker->is_dead && apply(*worker)) --count;
   }
 }
 
@@ -155,8 +155,8 @@
 
 void FaultInjector::cloud_outage(double duration_s) {
   extend_faults_end(duration_s);
-  targets_.cloud.outage = true;
-  simulation_.events.after(duration_s, [this] { targets_.cloud.outage = false; });
+  targets_.cloud.has_outage = true;
+  simulation_.events.after(duration_s, [this] { targets_.cloud.has_outage = false; });
 }
 
 void FaultInjector::prevent_boots(int count) { targets_.cloud.boots_to_prevent = count; }
@@ -167,7 +167,7 @@
 
 void FaultInjector::reclaim_spot(double share, double notice_s) {
   for (const auto& [name, worker] : targets_.fleet.workers()) {
-    if (worker->dead || !worker->spot || simulation_.random.uniform_unit() > share) continue;
+    if (worker->is_dead || !worker->spot || simulation_.random.uniform_unit() > share) continue;
     if (notice_s > 0)
       worker->reclaim_at = simulation_.now() + notice_s;
     else
@@ -178,14 +178,14 @@
 void FaultInjector::hang_machines(int count, double duration_s) {
   extend_faults_end(duration_s);
   apply_to_machines(count, [&](Worker& worker) {
-    if (worker.hanging) return false;
+    if (worker.is_hanging) return false;
     targets_.fleet.hang(worker, duration_s);
     return true;
   });
 }
 
 void FaultInjector::make_machines_faulty(int count) {
-  apply_to_machines(count, [](Worker& worker) { return !std::exchange(worker.faulty, true); });
+  apply_to_machines(count, [](Worker& worker) { return !std::exchange(worker.is_faulty, true); });
 }
 
 // ---- users ---------------------------------------------------------------------------------
@@ -195,7 +195,7 @@
   constexpr double kCancelWindowSeconds = 0.2;
   std::vector<std::string> running;
   for (const auto& [id, job] : targets_.jobs)
-    if (job.is_accepted() && !job.has_final_status() && !job.cancel_requested &&
+    if (job.is_accepted() && !job.has_final_status() && !job.is_cancel_requested &&
         targets_.ledger.running_tasks(id) > 0)
       running.push_back(id);
   simulation_.random.shuffle(running);
--- a/tests/standins/key_value_store.cc
+++ b/tests/standins/key_value_store.cc
@@ -51,13 +51,13 @@
 bool KeyValueStore::has_upgrade_record() const { return value(kUpgradeRecord) != nullptr; }
 
 void KeyValueStore::set_outage(double now, bool outage) {
-  if (outage_ && !outage)
+  if (has_outage_ && !outage)
     for (auto& [id, lease] : leases_) lease.expires_at = now + lease.ttl_s;
-  outage_ = outage;
+  has_outage_ = outage;
 }
 
 void KeyValueStore::tick(double now) {
-  if (outage_) return;
+  if (has_outage_) return;
   expire_leases(now);
   respond_to_watches(now);
 }
@@ -68,7 +68,7 @@
                            const ResponseHandler& on_response) {
   tick(now);
   ++requests_;
-  if (outage_) return on_response({503, "{}"});
+  if (has_outage_) return on_response({503, "{}"});
   refill_budgets(now);
   if (request_budget_ < 1) {
     ++refused_requests_;
@@ -244,7 +244,7 @@
 }
 
 void KeyValueStore::respond_to_watches(double now) {
-  if (outage_) return;
+  if (has_outage_) return;
   std::vector<Watch> waiting, due;
   for (auto& watch : watches_) {
     const bool is_due = now >= watch.expires_at || has_changes(watch.prefix, watch.after_revision);
--- a/tests/standins/key_value_store.h
+++ b/tests/standins/key_value_store.h
@@ -103,7 +103,7 @@
   StoreLimits limits_;
   double request_budget_ = 0, write_budget_ = 0;
   double last_request_ = -1;  // time of the last request; -1: none
-  bool outage_ = false;
+  bool has_outage_ = false;
   uint64_t revision_ = 1, next_lease_ = 1;
   std::map<std::string, Item> items_;
   std::map<uint64_t, Lease> leases_;
--- a/tests/standins/machine_fleet.cc
+++ b/tests/standins/machine_fleet.cc
@@ -28,7 +28,7 @@
     network_.remove_machine(name);
   }
   for (auto& [name, worker] : workers_) {
-    if (worker->dead) continue;
+    if (worker->is_dead) continue;
     if (worker->reclaim_at && simulation_.now() >= *worker->reclaim_at) {
       cloud_.reclaim(name);
       continue;
@@ -91,8 +91,8 @@
 void MachineFleet::handle_call(const std::string& machine, const Call& call,
                                const ResponseHandler& on_response) {
   Worker* worker = find(machine);
-  if (worker == nullptr || worker->dead) return;
-  if (worker->hanging) return handle_after_hang(machine, call);
+  if (worker == nullptr || worker->is_dead) return;
+  if (worker->is_hanging) return handle_after_hang(machine, call);
   worker->advance(simulation_.now());
   on_response(worker->handle_request(simulation_.now(), {call.method, call.path, call.body}));
 }
@@ -103,8 +103,8 @@
 }
 
 void MachineFleet::hang(Worker& worker, double duration_s) {
-  worker.hanging = true;
-  simulation_.events.after(duration_s, [&worker] { worker.hanging = false; });
+  worker.is_hanging = true;
+  simulation_.events.after(duration_s, [&worker] { worker.is_hanging = false; });
 }
 
 Worker* MachineFleet::find(const std::string& machine) {
@@ -120,7 +120,7 @@
 uint64_t MachineFleet::max_agent_epoch() const {
   uint64_t highest = 0;
   for (const auto& [name, worker] : workers_)
-    if (!worker->dead) highest = std::max(highest, worker->agent_epoch);
+    if (!worker->is_dead) highest = std::max(highest, worker->agent_epoch);
   return highest;
 }
 
--- a/tests/standins/machine_fleet.h
+++ b/tests/standins/machine_fleet.h
@@ -55,12 +55,15 @@
   uint64_t max_agent_epoch() const;
 
  private:
+  // Starts the worker of a machine that has booted.
   void start_worker(const CloudMachine& machine);
+  // Sends a heartbeat to the worker's current controller over the network.
   void send_heartbeat(Worker& worker);
   // Sends a copy of a heartbeat to a random controller after a random delay.
   void send_duplicate(const std::string& body);
   void send_to(size_t controller, const std::string& body,
                const ControllerCluster::ResponseHandler& on_response);
+  // Retries the call until the machine has resumed.
   void handle_after_hang(const std::string& machine, const rooksill::runtime::Call& call);
 
   Simulation& simulation_;
--- a/tests/standins/network.h
+++ b/tests/standins/network.h
@@ -31,10 +31,11 @@
 // The network faults of one machine. Times are when a fault ends.
 struct MachineLink {
   std::string zone;
-  Cut cut;                        // affects both directions
-  double inbound_lost_until = 0;  // commands and responses to it are dropped, its heartbeats arrive
-  double outbound_lost_until =
-      0;  // it cannot open connections, commands and their responses arrive
+  Cut cut;  // affects both directions
+  // Commands and responses to the machine are dropped; its heartbeats arrive.
+  double inbound_lost_until = 0;
+  // The machine cannot open connections; commands and their responses arrive.
+  double outbound_lost_until = 0;
 };
 
 // Delays a message with the given probability by a time drawn uniformly from 0 to max_delay_s.
@@ -45,13 +46,13 @@
 
 // Faults that affect single messages at random. All are initially off.
 struct MessageFaults {
-  double lost_response_probability =
-      0;                             // of controllers' calls: executed, but the response is dropped
-  RandomDelay delayed_requests;      // calls to the store and to workers
-  RandomDelay delayed_transactions;  // store transactions: executed late, after newer ones;
-                                     // response dropped
-  RandomDelay
-      delayed_commands;  // commands to workers; heartbeats and their responses are not delayed
+  // Of controllers' calls: the call is executed, but its response is dropped.
+  double lost_response_probability = 0;
+  RandomDelay delayed_requests;  // calls to the store and to workers
+  // Store transactions, which are executed late, after newer ones, and whose response is dropped.
+  RandomDelay delayed_transactions;
+  // Commands to workers. Heartbeats and their responses are not delayed.
+  RandomDelay delayed_commands;
   RandomDelay duplicate_heartbeats;  // a copy arrives late at a random controller
   double max_store_delay_s = 0;      // upper limit of the delay added to each store request
 };
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -60,7 +60,7 @@
                               ", is " + status);
   if (outcome == Outcome::kDone && ledger_.done_at(job.id()) < 0)
     simulation_.add_violation("not_done: " + job.id());
-  if (outcome == Outcome::kCancelled && !job.cancel_requested)
+  if (outcome == Outcome::kCancelled && !job.is_cancel_requested)
     simulation_.add_violation("went_back: " + job.id() + " not cancelled");
   return outcome;
 }
--- a/tests/standins/starvation_check.cc
+++ b/tests/standins/starvation_check.cc
@@ -40,7 +40,7 @@
 }
 
 bool StarvationCheck::has_startable_tasks(const UserJob& job, Usage& usage) const {
-  if (!job.is_accepted() || job.has_final_status() || job.cancel_requested || job.one_zone ||
+  if (!job.is_accepted() || job.has_final_status() || job.is_cancel_requested || job.one_zone ||
       job.workload.fails || job.workload.is_gang())
     return false;
   const int pending_tasks =
@@ -59,7 +59,7 @@
 
 bool StarvationCheck::has_capacity(const UserJob& job, const Worker& worker,
                                    int tasks_in_zone) const {
-  const bool in_service = !worker.dead && !worker.faulty && !worker.reclaim_at &&
+  const bool in_service = !worker.is_dead && !worker.is_faulty && !worker.reclaim_at &&
                           simulation_.now() - worker.booted_at() > kSettleSeconds;
   const bool allowed = (!worker.spot || job.spot) && job.allows_zone(worker.zone) &&
                        job.allows_type(worker.type) &&
--- a/tests/standins/starvation_check.h
+++ b/tests/standins/starvation_check.h
@@ -28,13 +28,14 @@
   void check(double faults_end);
 
  private:
-  // What the running tasks use.
+  // CPUs by team, and numbers of tasks on machines by job, and by job and zone.
   struct Usage {
     std::map<std::string, double> cpus_by_team;
     std::map<std::string, int> running_by_job;
     std::map<std::string, std::map<std::string, int>> tasks_by_job_and_zone;
   };
 
+  // Returns what the tasks currently on machines use.
   Usage current_usage() const;
   // Returns whether the job has tasks that are neither done nor running, and its team's limit
   // allows to start one.
@@ -50,8 +51,8 @@
   const TeamQuotas& teams_;
   const TaskLedger& ledger_;
   const MachineFleet& fleet_;
-  std::map<std::string, double>
-      pending_since_;  // start of the current wait, by ID of jobs that could start a task
+  // When each job, by ID, began to have pending tasks that a machine has capacity for.
+  std::map<std::string, double> pending_since_;
 };
 
 }  // namespace standins
--- a/tests/standins/user_job.h
+++ b/tests/standins/user_job.h
@@ -29,7 +29,7 @@
 
   Submission submission = Submission::kPending;
   Outcome outcome = Outcome::kNone;
-  bool cancel_requested = false;
+  bool is_cancel_requested = false;
   int submit_status = 0;              // HTTP status of the last response to its submission
   double submitted_at = 0;            // time of the first attempt
   double reported_cancelled_at = -1;  // when a response first reported it cancelled; -1: never
--- a/tests/standins/users.cc
+++ b/tests/standins/users.cc
@@ -94,7 +94,7 @@
 }
 
 void Users::cancel(const std::string& job_id) {
-  jobs_.at(job_id).cancel_requested = true;
+  jobs_.at(job_id).is_cancel_requested = true;
   try_cancel(job_id);
 }
 
@@ -110,7 +110,7 @@
 }
 
 void Users::on_job_done(const std::string& job_id) {
-  if (cancel_on_completion_ <= 0 || jobs_.at(job_id).cancel_requested) return;
+  if (cancel_on_completion_ <= 0 || jobs_.at(job_id).is_cancel_requested) return;
   if (simulation_.random.bernoulli(cancel_on_completion_))
     simulation_.events.after(0, [this, job_id] { cancel(job_id); });
 }
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -51,11 +51,11 @@
 // ---- tasks ---------------------------------------------------------------------------------
 
 void Worker::advance(double now) {
-  if (dead) return;
+  if (is_dead) return;
   if (lease_renewed_at_ == 0) lease_renewed_at_ = booted_at_ = now;
   now_ = now;
   if (now - lease_renewed_at_ > times_.lease_s) expire_lease(now);
-  if (hanging) return;
+  if (is_hanging) return;
   for (auto& task : tasks_)
     if (task.phase != Phase::kExited) advance_task(task, *environment_.find_workload(task.key.job));
 }
@@ -66,7 +66,7 @@
     const bool cached = images_.count(workload.image) != 0;
     const double fetch_s = cached ? 0 : workload.image_gb / spec_.fetch_gb_per_s;
     if (elapsed >= fetch_s) begin_after_fetch(task, workload);
-  } else if (workload.fails || faulty) {
+  } else if (workload.fails || is_faulty) {
     if (elapsed > kFailureSeconds) exit_task(task, "error");
   } else if (!workload.is_gang()) {
     advance_array_task(task, workload);
@@ -93,7 +93,7 @@
   if (task.phase == Phase::kSaving) {
     if (elapsed < workload.save_s) return;
     environment_.save_progress(task.key, task.progress);
-    task.saved = true;
+    task.is_saved = true;
     return exit_task(task, "stopped");
   }
   if (workload.is_service()) return;
@@ -141,10 +141,10 @@
   if (task.phase != Phase::kSaving || now_ - task.phase_since < workload.save_s) return false;
   const bool all_told = static_cast<int>(gang.stopped_with_grace.size()) == workload.tasks;
   const bool can_save = !gang.is_stopped_without_saving && gang.task_lost_at < 0 && all_told;
-  if (!gang.saved && !can_save) return false;
-  gang.saved = true;
+  if (!gang.is_saved && !can_save) return false;
+  gang.is_saved = true;
   environment_.save_progress(task.key, gang.progress);
-  task.saved = true;
+  task.is_saved = true;
   exit_task(task, "stopped");
   return true;
 }
@@ -152,7 +152,7 @@
 // Other tasks notice with a delay that a task was lost, or that not all tasks were stopped with
 // enough time to save.
 bool Worker::is_gang_broken(const Workload& workload, const GangAttempt& gang) const {
-  if (gang.saved) return false;
+  if (gang.is_saved) return false;
   if (gang.task_lost_at >= 0 && now_ - gang.task_lost_at > times_.gang_peer_s / 2) return true;
   return gang.first_stop_at >= 0 && now_ - gang.first_stop_at > times_.gang_peer_s &&
          static_cast<int>(gang.stopped_with_grace.size()) < workload.tasks;
@@ -160,8 +160,8 @@
 
 void Worker::join_gang(const Task& task, const Workload& workload) {
   GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
-  gang.ready.insert(task.key.index);
-  if (gang.started_at >= 0 || static_cast<int>(gang.ready.size()) < workload.tasks) return;
+  gang.ready_tasks.insert(task.key.index);
+  if (gang.started_at >= 0 || static_cast<int>(gang.ready_tasks.size()) < workload.tasks) return;
   gang.started_at = now_;
   gang.progress = task.progress;
 }
@@ -172,7 +172,7 @@
   const Workload* workload = environment_.find_workload(task.key.job);
   if (workload == nullptr || !workload->is_gang()) return;
   GangAttempt& gang = environment_.gang_attempt(task.key, task.attempt);
-  gang.ready.erase(task.key.index);
+  gang.ready_tasks.erase(task.key.index);
   if (gang.started_at >= 0 && gang.task_lost_at < 0) gang.task_lost_at = now_;
 }
 
@@ -196,7 +196,7 @@
 }
 
 void Worker::kill() {
-  dead = true;
+  is_dead = true;
   end_all_tasks();
 }
 
@@ -210,12 +210,13 @@
 // ---- heartbeats ----------------------------------------------------------------------------
 
 bool Worker::should_send_heartbeat(double now) const {
-  if (dead || hanging || heartbeat_in_flight_ || now < next_heartbeat_allowed_) return false;
+  if (is_dead || is_hanging || is_heartbeat_in_flight_ || now < next_heartbeat_allowed_)
+    return false;
   return now >= next_heartbeat_ || has_unreported_changes_;
 }
 
 std::string Worker::make_heartbeat(double now) {
-  heartbeat_in_flight_ = true;
+  is_heartbeat_in_flight_ = true;
   has_unreported_changes_ = false;
   next_heartbeat_allowed_ = now + kMinHeartbeatIntervalSeconds;
   next_heartbeat_ = now + times_.heartbeat_s;
@@ -246,7 +247,7 @@
                {"try", task.attempt},
                {"status", wire_name(task.phase)}};
     if (task.phase == Phase::kExited) entry["cause"] = task.exit_cause;
-    if (task.saved) entry["saved"] = true;
+    if (task.is_saved) entry["saved"] = true;
     tasks.push_back(entry);
   }
   json report{{"perch", name},
@@ -265,8 +266,8 @@
 
 void Worker::on_heartbeat_response(double now, const HttpResponse& response, double sent_at,
                                    uint64_t sent_epoch) {
-  heartbeat_in_flight_ = false;
-  if (dead) return;
+  is_heartbeat_in_flight_ = false;
+  if (is_dead) return;
   const json body = json::parse(response.body, nullptr, false);
   if (response.status != 200 || !body.is_object()) return change_controller(response, now);
   if (sent_epoch != agent_epoch) return;
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -24,7 +24,7 @@
   virtual ~WorkerEnvironment() = default;
   // Returns the workload of a job, or null if the job does not exist.
   virtual const Workload* find_workload(const std::string& job) const = 0;
-  // Record that a task starts to occupy the machine, and that it no longer does.
+  // Record that a task starts or stops to occupy a place on the machine.
   virtual void task_started(const Worker& worker, const TaskKey& task, uint64_t attempt) = 0;
   virtual void task_ended(const Worker& worker, const TaskKey& task) = 0;
   // Returns whether the task's result is stored.
@@ -51,7 +51,7 @@
 // seen. When its lease expires, it ends all its tasks and starts a new agent epoch.
 class Worker {
  public:
-  // `environment` outlives the worker.
+  // `environment` must outlive the worker.
   Worker(const CloudMachine& machine, const TypeSpec& type, const WorkerTimes& times,
          WorkerEnvironment& environment);
 
@@ -82,13 +82,15 @@
   const bool spot;
   std::vector<std::string> controllers;  // labels of all controllers
   size_t current_controller = 0;         // index of the one that receives the heartbeats
-  bool dead = false;                     // the machine has been terminated
-  bool hanging = false;                  // executes and sends nothing; its lease may expire
-  bool faulty = false;                   // every task fails
+  bool is_dead = false;                  // the machine has been terminated
+  bool is_hanging = false;               // executes and sends nothing; its lease may expire
+  bool is_faulty = false;                // every task fails
   std::optional<double> reclaim_at;      // when the cloud takes the machine back, if it gave notice
   uint64_t agent_epoch = 1;              // raised each time the lease expires
 
  private:
+  // kSaving: writing a checkpoint on demand before it stops. kExited: until the controller's
+  // command to remove it.
   enum class Phase { kFetching, kWaitingForGang, kRunning, kSaving, kExited };
 
   struct Task {
@@ -96,7 +98,7 @@
     uint64_t attempt = 0;
     Phase phase = Phase::kFetching;
     std::string exit_cause;
-    bool saved = false;      // its progress was saved when it was stopped
+    bool is_saved = false;   // its progress was saved when it was stopped
     double phase_since = 0;  // start of the phase; of a running gang task: of its wait for the gang
     double progress = 0;     // seconds of work at phase_since
     // Returns whether the task counts as on the machine for the protocol's rules: it runs, or may
@@ -117,8 +119,11 @@
   bool save_with_gang(Task& task, const Workload& workload, GangAttempt& gang);
   // Returns whether the task has to exit because another task was lost or not stopped in time.
   bool is_gang_broken(const Workload& workload, const GangAttempt& gang) const;
+  // Starts the task, or its wait for its gang, when its image is present.
   void begin_after_fetch(Task& task, const Workload& workload);
+  // Marks the task as ready. The gang starts when all its tasks are.
   void join_gang(const Task& task, const Workload& workload);
+  // Records the loss of a task in the state of its gang, if it has one.
   void leave_gang(const Task& task);
   void exit_task(Task& task, const std::string& cause);
   void end_all_tasks();
@@ -134,7 +139,9 @@
 
   // Returns the body of a heartbeat or of the response to a command or inspection.
   std::string make_report(double now);
+  // Ends all tasks and starts a new agent epoch.
   void expire_lease(double now);
+  // Stores the token if it is higher than the highest seen.
   void observe_fencing_token(uint64_t token);
   // Sends the next heartbeat to the controller that the response names, or to the next in the list.
   void change_controller(const HttpResponse& response, double now);
@@ -150,7 +157,7 @@
   double last_token_change_ = -1e9;
   uint64_t report_sequence_ = 0;
   bool has_unreported_changes_ = true;  // since the last heartbeat
-  bool heartbeat_in_flight_ = false;
+  bool is_heartbeat_in_flight_ = false;
   double next_heartbeat_ = 0, next_heartbeat_allowed_ = 0;
 };
 
--- a/tests/standins/workload.h
+++ b/tests/standins/workload.h
@@ -34,13 +34,13 @@
 // State shared by the tasks of one attempt of a gang, on all their machines. Times of events that
 // have not occurred are -1.
 struct GangAttempt {
-  std::set<int> ready;        // indexes of tasks that have fetched their image and are on a machine
+  std::set<int> ready_tasks;  // indexes of tasks that have fetched their image and are on a machine
   double started_at = -1;     // when the last task became ready
   double task_lost_at = -1;   // when a task of the running gang was first lost
   double first_stop_at = -1;  // when the first task received a stop command
   double progress = 0;        // seconds of work at started_at; at first_stop_at once that is set
   std::set<int> stopped_with_grace;        // indexes of tasks that were given enough time to save
-  bool saved = false;                      // the gang's progress at first_stop_at is saved
+  bool is_saved = false;                   // the gang's progress at first_stop_at is saved
   bool is_stopped_without_saving = false;  // a task was given too little time to save
 };
 
--- a/tests/standins/world.h
+++ b/tests/standins/world.h
@@ -44,6 +44,7 @@
   // Runs the checks that apply once the run is over; see EndOfDayChecks.
   void check_end_of_day() { end_of_day_checks_.run(faults_.faults_end()); }
 
+  // Returns the number of controllers.
   size_t controller_count() const { return options_.controllers; }
   // Returns the simulated time in seconds.
   double now() const { return simulation_.now(); }
--- a/tests/standins/world_options.h
+++ b/tests/standins/world_options.h
@@ -14,6 +14,7 @@
   size_t value_bytes = 8192;       // maximum size of one value
 };
 
+// Sizes, protocol times and limits of a deployment.
 struct WorldOptions {
   size_t controllers = 3;   // number of controllers
   double heartbeat_s = 1;   // interval of worker heartbeats
@@ -29,8 +30,8 @@
   double cloud_list_lag_s = 3;      // maximum age of the machine list that the cloud returns
   uint64_t seed = 1;
   bool verbose = false;  // print the controllers' logs to stderr
-  bool first_version =
-      false;  // start all controllers with the first version, which predates upgrade records
+  // Start all controllers with the first version, which predates upgrade records.
+  bool first_version = false;
 };
 
 }  // namespace standins
