--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr double kBatchDelaySeconds = 0.0005;  // from an input to the batch that contains it
-constexpr double kConnectFailureSeconds =
-    0.001;  // until a request to a controller that is down fails
+// Until a request to a controller that is down fails.
+constexpr double kConnectFailureSeconds = 0.001;
 // The steady clocks of controllers are unrelated, and their wall clocks differ slightly.
 constexpr double kWallClockStartSeconds = 1.7e9, kSteadyClockOffsetSeconds = 100,
                  kWallClockOffsetSeconds = 0.03;
--- a/tests/standins/machine_fleet.cc
+++ b/tests/standins/machine_fleet.cc
@@ -10,8 +10,8 @@
 
 constexpr double kHeartbeatTimeoutSeconds = 4;  // after which a worker stops waiting for a response
 constexpr double kConnectFailureSeconds = 0.001;  // until a worker's connection attempt fails
-constexpr double kHangPollIntervalSeconds =
-    0.1;  // between checks whether a hanging machine has resumed
+// Between checks whether a hanging machine has resumed.
+constexpr double kHangPollIntervalSeconds = 0.1;
 
 void ignore(const HttpResponse&) {}
 
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr double kMinHeartbeatIntervalSeconds = 0.5;  // between heartbeats caused by changes
-constexpr double kRedirectDelaySeconds =
-    0.1;  // until the heartbeat to the controller named in a response
+// Until the heartbeat to the controller named in a response.
+constexpr double kRedirectDelaySeconds = 0.1;
 constexpr double kRetryDelaySeconds = 1;  // until a heartbeat to the next controller
 constexpr double kFailureSeconds = 0.3;   // until a failing task exits
 constexpr double kCpuTolerance = 1e-9;    // for rounding errors of sums
