--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -66,7 +66,7 @@
 }
 
 void expect_outcome(const World& world, const Line& line, Outcome expected) {
-  const Outcome got = job_at(world, line, 1).outcome;
+  const Outcome got = job_at(world, line, 1).final_status;
   if (got != expected) fail(line, line.word(1) + " was told '" + name_of(got) + "'");
 }
 
--- a/tests/standins/cloud.cc
+++ b/tests/standins/cloud.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-json Cloud::listing() const {
+json Cloud::machine_list() const {
   json list = json::array();
   for (const auto& [name, machine] : machines) {
     if (machine.is_terminated) continue;
@@ -52,7 +52,7 @@
   refill_budget(now);
   last_tick_ = now;
   if (list_snapshots_.empty() || now - list_snapshots_.back().taken_at >= kSnapshotIntervalSeconds)
-    list_snapshots_.push_back({now, listing()});
+    list_snapshots_.push_back({now, machine_list()});
   while (list_snapshots_.size() > 1 && list_snapshots_[1].taken_at <= now - list_lag_s_)
     list_snapshots_.pop_front();
 }
@@ -127,7 +127,7 @@
   const bool spot = request["loaners"].get<bool>();
   const TypeSpec* type = find_type(request["build"].get<std::string>(), zone);
   if (type == nullptr) return {400, "{}"};
-  const int free = type->capacity - rented(type->name, zone, spot);
+  const int free = type->capacity - rented_count(type->name, zone, spot);
   const int count = std::min(request["how_many"].get<int>(), free);
   if (count <= 0) return {503, "{\"error\":\"no capacity\"}"};
   json names = json::array();
@@ -144,7 +144,7 @@
   return it == types.end() ? nullptr : &*it;
 }
 
-int Cloud::rented(const std::string& type, const std::string& zone, bool spot) const {
+int Cloud::rented_count(const std::string& type, const std::string& zone, bool spot) const {
   int count = 0;
   for (const auto& [name, machine] : machines)
     if (!machine.is_terminated && machine.type == type && machine.zone == zone &&
--- a/tests/standins/cloud.h
+++ b/tests/standins/cloud.h
@@ -58,10 +58,10 @@
   HttpResponse rent(double now, const nlohmann::json& request);
   const TypeSpec* find_type(const std::string& name, const std::string& zone) const;
   // Returns how many machines are currently rented.
-  int rented(const std::string& type, const std::string& zone, bool spot) const;
+  int rented_count(const std::string& type, const std::string& zone, bool spot) const;
   std::string add_machine(double now, const TypeSpec& type, const std::string& zone, bool spot);
   // Returns the current state of the machine list.
-  nlohmann::json listing() const;
+  nlohmann::json machine_list() const;
 
   // The state of the machine list at one time.
   struct ListSnapshot {
--- a/tests/standins/controller_cluster.cc
+++ b/tests/standins/controller_cluster.cc
@@ -41,10 +41,10 @@
     started.version = version;
     processes_.push_back(std::move(started));
   }
-  for (size_t i = 0; i < processes_.size(); ++i) boot(i);
+  for (size_t i = 0; i < processes_.size(); ++i) start_process(i);
 }
 
-void ControllerCluster::boot(size_t controller) {
+void ControllerCluster::start_process(size_t controller) {
   Process& proc = process(controller);
   ++proc.generation;
   proc.inbox.clear();
@@ -67,7 +67,7 @@
   for (size_t i = 0; i < processes_.size(); ++i)
     if (i != controller) deliver(i, PeerLost{proc.label});
   simulation_.events.after(downtime_s, [this, controller, generation = proc.generation] {
-    if (process(controller).generation == generation) boot(controller);
+    if (process(controller).generation == generation) start_process(controller);
   });
 }
 
@@ -147,7 +147,7 @@
   }
   simulation_.events.after(timeout_s, [respond_once] { respond_once({}); });
   simulation_.events.after(
-      network_.latency(),
+      network_.draw_latency(),
       [this, controller, generation = generation(controller), request = std::move(request),
        respond_once] { deliver_request(controller, generation, request, respond_once); });
 }
@@ -158,7 +158,7 @@
   if (proc.generation != generation || !proc.core) return on_response({});
   const uint64_t id = proc.next_request++;
   proc.pending_requests[id] = [this, on_response](const HttpResponse& response) {
-    simulation_.events.after(network_.latency(),
+    simulation_.events.after(network_.draw_latency(),
                              [on_response, response] { on_response(response); });
   };
   deliver(controller, Request{id, std::move(request.method), std::move(request.target),
--- a/tests/standins/controller_cluster.h
+++ b/tests/standins/controller_cluster.h
@@ -107,7 +107,7 @@
   Process& process(size_t controller) { return processes_[controller]; }
   const Process& process(size_t controller) const { return processes_[controller]; }
   // Starts the process with its current version.
-  void boot(size_t controller);
+  void start_process(size_t controller);
   // Runs the queued inputs as one batch, unless the process has ended since they were queued.
   void run_batch(size_t controller, uint64_t generation);
   // Schedules the next periodic tick.
--- a/tests/standins/first_version.cc
+++ b/tests/standins/first_version.cc
@@ -29,7 +29,7 @@
                                         "n", "oz", "pr", "sh", "sp", "st", "sv", "tm", "ty", "z"};
 const std::set<std::string> kDoneJobFields{"e", "n"};
 
-std::set<std::string> names_in(const json& object) {
+std::set<std::string> field_names(const json& object) {
   std::set<std::string> out;
   for (const auto& [name, value] : object.items()) out.insert(name);
   return out;
@@ -49,12 +49,12 @@
 
 std::string unknown_to_first_version(const std::string& key, const json& value) {
   if (!value.is_object()) return "a value that is no object: " + key;
-  const auto names = names_in(value);
+  const auto names = field_names(value);
   for (const auto& [kind, fields] : fields_by_kind()) {
     if (key.rfind(kind, 0) != 0) continue;
     if (kind == "rk/j/" && names == kDoneJobFields) return "";
     if (names != fields) return "fields of " + key + ": " + value.dump();
-    if (kind == "rk/j/" && names_in(value["s"]) != kSpecFields) return "specification of " + key;
+    if (kind == "rk/j/" && field_names(value["s"]) != kSpecFields) return "specification of " + key;
     return "";
   }
   return "key " + key;
--- a/tests/standins/machine_fleet.cc
+++ b/tests/standins/machine_fleet.cc
@@ -24,7 +24,7 @@
   for (const auto& name : std::exchange(cloud_.newly_terminated, {})) {
     Worker* worker = find(name);
     if (worker == nullptr) continue;
-    worker->kill();
+    worker->terminate();
     network_.remove_machine(name);
   }
   for (auto& [name, worker] : workers_) {
@@ -71,7 +71,7 @@
   simulation_.events.after(kHeartbeatTimeoutSeconds, [on_response] { on_response({}); });
   // Delayed heartbeats arrive when the cut ends; the worker does not wait for their responses.
   if (route.disposition == HeartbeatRoute::Disposition::kDelayed)
-    simulation_.events.at(route.delayed_until + network_.latency(),
+    simulation_.events.at(route.delayed_until + network_.draw_latency(),
                           [this, controller, body] { send_to(controller, body, ignore); });
 }
 
@@ -114,7 +114,7 @@
 
 int MachineFleet::alive_count() const {
   return static_cast<int>(std::count_if(workers_.begin(), workers_.end(),
-                                        [](const auto& entry) { return !entry.second->dead; }));
+                                        [](const auto& entry) { return !entry.second->is_dead; }));
 }
 
 uint64_t MachineFleet::max_agent_epoch() const {
--- a/tests/standins/message_router.cc
+++ b/tests/standins/message_router.cc
@@ -56,7 +56,7 @@
       delivery->at, [this, from, call, on_response, is_response_lost = delivery->is_response_lost] {
         execute(from, call, [this, on_response, is_response_lost](const HttpResponse& response) {
           if (is_response_lost) return;
-          simulation_.events.after(network_.latency(),
+          simulation_.events.after(network_.draw_latency(),
                                    [on_response, response] { on_response(response); });
         });
       });
--- a/tests/standins/network.cc
+++ b/tests/standins/network.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-double Network::latency() {
+double Network::draw_latency() {
   return simulation_.random.uniform(kMinLatencySeconds, kMaxLatencySeconds);
 }
 
@@ -59,7 +59,7 @@
 }
 
 std::optional<double> Network::route_to_peer(size_t from, size_t to) {
-  const double at = simulation_.now() + latency();
+  const double at = simulation_.now() + draw_latency();
   const Cut* at_sender = active_cut(from, Link::kPeers);
   const Cut* at_receiver = active_cut(to, Link::kPeers);
   if (at_sender == nullptr && at_receiver == nullptr) return at;
@@ -69,11 +69,11 @@
     if (cut->mode == CutMode::kDrop) return std::nullopt;
     until = std::max(until, cut->until);
   }
-  return until + latency();
+  return until + draw_latency();
 }
 
 std::optional<Delivery> Network::route_call(size_t from, const Call& call) {
-  const double at = simulation_.now() + latency();
+  const double at = simulation_.now() + draw_latency();
   const auto after_cuts = arrival_after_cuts(from, call, at);
   if (!after_cuts) return std::nullopt;
   Delivery delivery{*after_cuts};
@@ -92,7 +92,7 @@
   const Cut* cut = active_cut(from, link_to(call.target));
   if (cut == nullptr) return at;
   if (cut->mode == CutMode::kDrop) return std::nullopt;
-  return std::max(at, cut->until + latency());
+  return std::max(at, cut->until + draw_latency());
 }
 
 std::optional<double> Network::arrival_after_machine_cut(size_t from, const MachineLink& machine,
@@ -100,7 +100,7 @@
   if (machine.inbound_lost_until > simulation_.now()) return std::nullopt;
   if (!machine.cut.is_active(simulation_.now()) || is_in_same_partition(machine, from)) return at;
   if (machine.cut.mode == CutMode::kDrop) return std::nullopt;
-  return machine.cut.until + latency();
+  return machine.cut.until + draw_latency();
 }
 
 void Network::apply_message_faults(const Call& call, Delivery& delivery) {
--- a/tests/standins/network.h
+++ b/tests/standins/network.h
@@ -78,7 +78,7 @@
   explicit Network(Simulation& simulation) : simulation_(simulation) {}
 
   // Draws the one-way latency between two processes, in seconds. Uses one random number.
-  double latency();
+  double draw_latency();
 
   // Adds or removes a machine. Messages to machines that are not present are dropped.
   void add_machine(const std::string& name, const std::string& zone);
--- a/tests/standins/task_ledger.cc
+++ b/tests/standins/task_ledger.cc
@@ -9,7 +9,7 @@
   return it == jobs_.end() ? nullptr : &it->second.workload;
 }
 
-void TaskLedger::task_started(const Worker& worker, const TaskKey& task, uint64_t attempt) {
+void TaskLedger::record_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) {
   for (TaskObserver* observer : observers_) observer->before_task_start(worker, task, attempt);
   machines_by_task_[task][worker.name] = attempt;
   const UserJob& job = jobs_.at(task.job);
@@ -20,11 +20,11 @@
   for (TaskObserver* observer : observers_) observer->after_task_start(worker, task);
 }
 
-void TaskLedger::task_ended(const Worker& worker, const TaskKey& task) {
+void TaskLedger::record_task_end(const Worker& worker, const TaskKey& task) {
   machines_by_task_[task].erase(worker.name);
 }
 
-void TaskLedger::complete(const TaskKey& task) {
+void TaskLedger::record_completion(const TaskKey& task) {
   completed_.insert(task);
   JobRecord& record = job_records_[task.job];
   if (record.done_at >= 0) return;
--- a/tests/standins/task_ledger.h
+++ b/tests/standins/task_ledger.h
@@ -41,10 +41,10 @@
   void add_observer(TaskObserver& observer) { observers_.push_back(&observer); }
 
   const Workload* find_workload(const std::string& job) const override;
-  void task_started(const Worker& worker, const TaskKey& task, uint64_t attempt) override;
-  void task_ended(const Worker& worker, const TaskKey& task) override;
+  void record_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) override;
+  void record_task_end(const Worker& worker, const TaskKey& task) override;
   bool is_completed(const TaskKey& task) const override { return completed_.count(task) != 0; }
-  void complete(const TaskKey& task) override;
+  void record_completion(const TaskKey& task) override;
   double saved_progress(const TaskKey& task) const override;
   void save_progress(const TaskKey& task, double progress_s) override;
   GangAttempt& gang_attempt(const TaskKey& task, uint64_t attempt) override;
--- a/tests/standins/worker.cc
+++ b/tests/standins/worker.cc
@@ -83,7 +83,7 @@
   task.phase_since = now_;
   task.progress = environment_.saved_progress(task.key);
   has_unreported_changes_ = true;
-  environment_.task_started(*this, task.key, task.attempt);
+  environment_.record_task_start(*this, task.key, task.attempt);
   if (environment_.is_completed(task.key)) return exit_task(task, "done");
   if (workload.is_gang()) join_gang(task, workload);
 }
@@ -102,7 +102,7 @@
     environment_.save_progress(
         task.key, std::floor(progress / workload.checkpoint_s) * workload.checkpoint_s);
   if (progress < workload.run_s) return;
-  environment_.complete(task.key);
+  environment_.record_completion(task.key);
   exit_task(task, "done");
 }
 
@@ -119,7 +119,7 @@
   if (progress < workload.run_s || gang.task_lost_at >= 0) return;
   for (int i = 0; i < workload.tasks; ++i) {
     const TaskKey member{task.key.job, i};
-    if (!environment_.is_completed(member)) environment_.complete(member);
+    if (!environment_.is_completed(member)) environment_.record_completion(member);
   }
   exit_task(task, "done");
 }
@@ -183,19 +183,19 @@
   has_unreported_changes_ = true;
   if (!was_on_machine) return;
   leave_gang(task);
-  environment_.task_ended(*this, task.key);
+  environment_.record_task_end(*this, task.key);
 }
 
 void Worker::end_all_tasks() {
   for (const auto& task : tasks_) {
     if (!task.is_on_machine()) continue;
     leave_gang(task);
-    environment_.task_ended(*this, task.key);
+    environment_.record_task_end(*this, task.key);
   }
   tasks_.clear();
 }
 
-void Worker::kill() {
+void Worker::terminate() {
   is_dead = true;
   end_all_tasks();
 }
--- a/tests/standins/worker.h
+++ b/tests/standins/worker.h
@@ -25,12 +25,12 @@
   // Returns the workload of a job, or null if the job does not exist.
   virtual const Workload* find_workload(const std::string& job) const = 0;
   // Record that a task starts or stops to occupy a place on the machine.
-  virtual void task_started(const Worker& worker, const TaskKey& task, uint64_t attempt) = 0;
-  virtual void task_ended(const Worker& worker, const TaskKey& task) = 0;
+  virtual void record_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) = 0;
+  virtual void record_task_end(const Worker& worker, const TaskKey& task) = 0;
   // Returns whether the task's result is stored.
   virtual bool is_completed(const TaskKey& task) const = 0;
   // Stores the task's result.
-  virtual void complete(const TaskKey& task) = 0;
+  virtual void record_completion(const TaskKey& task) = 0;
   // Returns the saved progress, in seconds of work that a new attempt need not repeat.
   virtual double saved_progress(const TaskKey& task) const = 0;
   // Saves progress. Less progress than already saved is ignored.
@@ -58,7 +58,7 @@
   // Advances all tasks to `now` and checks the lease. Call before the other methods.
   void advance(double now);
   // Ends the worker and all its tasks because the machine has been terminated.
-  void kill();
+  void terminate();
 
   // Returns whether a heartbeat is due.
   bool should_send_heartbeat(double now) const;
