--- a/tests/standins/end_of_day_checks.h
+++ b/tests/standins/end_of_day_checks.h
@@ -13,8 +13,7 @@
 // Checks the accepted jobs without a request to cancel them. The text of a violation begins with:
 //   forgotten  no response reported the status of a job for more than 75 s after the faults ended
 //   unserved   fewer than half of the jobs of a class, of a team, or of the largest tenth of a
-//   class,
-//              by number of tasks, started
+//              class, by number of tasks, started
 //   late       a job in the largest tenth of a class did not start within four minutes
 // Jobs submitted less than 45 s before the end, or before 45 s after the faults, are checked only
 // for the first.
--- a/tests/standins/key_value_store.cc
+++ b/tests/standins/key_value_store.cc
@@ -209,7 +209,7 @@
     if (!unknown.empty()) violations_.push_back("unknown to the first version: " + unknown);
   }
   if (key.size() > kMaxKeyBytes || key.find(' ') != std::string::npos)
-    violations_.push_back("bad key " + key);
+    violations_.push_back("invalid key " + key);
 }
 
 void KeyValueStore::erase(const std::string& key) {
--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -22,8 +22,8 @@
   return FinalStatus::kNone;
 }
 
-const char* wire_name(FinalStatus outcome) {
-  return outcome == FinalStatus::kDone ? "done" : "withdrawn";
+const char* wire_name(FinalStatus final_status) {
+  return final_status == FinalStatus::kDone ? "done" : "withdrawn";
 }
 
 }  // namespace
@@ -54,17 +54,17 @@
     return FinalStatus::kNone;
   }
   const auto status = body.value("status", "");
-  const FinalStatus outcome = parse_final_status(status);
+  const FinalStatus final_status = parse_final_status(status);
   if (is_poll && !job.is_accepted() && job.submit_status == 0)
     simulation_.add_violation("invented: " + job.id());
-  if (job.has_final_status() && outcome != job.final_status)
+  if (job.has_final_status() && final_status != job.final_status)
     simulation_.add_violation("went_back: " + job.id() + " was " + wire_name(job.final_status) +
                               ", is " + status);
-  if (outcome == FinalStatus::kDone && ledger_.done_at(job.id()) < 0)
+  if (final_status == FinalStatus::kDone && ledger_.done_at(job.id()) < 0)
     simulation_.add_violation("not_done: " + job.id());
-  if (outcome == FinalStatus::kCancelled && !job.is_cancel_requested)
+  if (final_status == FinalStatus::kCancelled && !job.is_cancel_requested)
     simulation_.add_violation("went_back: " + job.id() + " not cancelled");
-  return outcome;
+  return final_status;
 }
 
 bool RuleChecker::can_run(const UserJob& job) const {
--- a/tests/standins/task_ledger.h
+++ b/tests/standins/task_ledger.h
@@ -14,7 +14,7 @@
 
 namespace standins {
 
-// Is notified of events of tasks. Observers must not call methods that modify the ledger.
+// Interface for observers of task events. Observers must not call methods that modify the ledger.
 class TaskObserver {
  public:
   virtual ~TaskObserver() = default;
