--- a/tests/standins/rule_checker.cc
+++ b/tests/standins/rule_checker.cc
@@ -16,14 +16,14 @@
                                            "pieces",   "cores",  "memory_gb", "bundle", "size_gb",
                                            "together", "spread", "loaners",   "guess_s"};
 
-FinalStatus parse_final_status(const std::string& status) {
-  if (status == "done") return FinalStatus::kDone;
-  if (status == "withdrawn") return FinalStatus::kCancelled;
-  return FinalStatus::kNone;
+Outcome parse_final_status(const std::string& status) {
+  if (status == "done") return Outcome::kDone;
+  if (status == "withdrawn") return Outcome::kCancelled;
+  return Outcome::kNone;
 }
 
-const char* wire_name(FinalStatus final_status) {
-  return final_status == FinalStatus::kDone ? "done" : "withdrawn";
+const char* wire_name(Outcome final_status) {
+  return final_status == Outcome::kDone ? "done" : "withdrawn";
 }
 
 }  // namespace
@@ -43,26 +43,26 @@
     simulation_.add_violation("503 without Retry-After for " + job.id());
 }
 
-FinalStatus RuleChecker::check_status_response(const UserJob& job, const HttpResponse& response,
-                                               bool is_poll) {
+Outcome RuleChecker::check_status_response(const UserJob& job, const HttpResponse& response,
+                                           bool is_poll) {
   if (response.status == 404 && job.is_accepted())
     simulation_.add_violation("forgotten: " + job.id());
-  if (response.status != 200 && response.status != 201) return FinalStatus::kNone;
+  if (response.status != 200 && response.status != 201) return Outcome::kNone;
   const json body = json::parse(response.body, nullptr, false);
   if (!body.is_object()) {
     simulation_.add_violation("malformed response for " + job.id());
-    return FinalStatus::kNone;
+    return Outcome::kNone;
   }
   const auto status = body.value("status", "");
-  const FinalStatus final_status = parse_final_status(status);
+  const Outcome final_status = parse_final_status(status);
   if (is_poll && !job.is_accepted() && job.submit_status == 0)
     simulation_.add_violation("invented: " + job.id());
   if (job.has_final_status() && final_status != job.final_status)
     simulation_.add_violation("went_back: " + job.id() + " was " + wire_name(job.final_status) +
                               ", is " + status);
-  if (final_status == FinalStatus::kDone && ledger_.done_at(job.id()) < 0)
+  if (final_status == Outcome::kDone && ledger_.done_at(job.id()) < 0)
     simulation_.add_violation("not_done: " + job.id());
-  if (final_status == FinalStatus::kCancelled && !job.is_cancel_requested)
+  if (final_status == Outcome::kCancelled && !job.is_cancel_requested)
     simulation_.add_violation("went_back: " + job.id() + " not cancelled");
   return final_status;
 }
--- a/tests/standins/rule_checker.h
+++ b/tests/standins/rule_checker.h
@@ -40,7 +40,7 @@
   void check_submit_response(const UserJob& job, const HttpResponse& response);
   // Checks a response that reports the status of `job`, which is in its state before the response.
   // Returns the reported final status, or kNone if there is none.
-  FinalStatus check_status_response(const UserJob& job, const HttpResponse& response, bool is_poll);
+  Outcome check_status_response(const UserJob& job, const HttpResponse& response, bool is_poll);
 
   // Checks a task that is about to start, or has started.
   void before_task_start(const Worker& worker, const TaskKey& task, uint64_t attempt) override;
--- a/tests/standins/unexpected_requests.cc
+++ b/tests/standins/unexpected_requests.cc
@@ -54,7 +54,7 @@
       if (job.is_accepted()) repeat_submission(*controller, job);
       return;
     case 1:
-      if (job.final_status == FinalStatus::kDone) cancel_done_job(*controller, job);
+      if (job.final_status == Outcome::kDone) cancel_done_job(*controller, job);
       return;
     case 2:
       return query_unknown_job(*controller);
--- a/tests/standins/user_job.h
+++ b/tests/standins/user_job.h
@@ -14,7 +14,7 @@
 enum class Submission { kPending, kAccepted, kRejected, kTimedOut };
 
 // The final status that a response reported; later responses must report the same.
-enum class FinalStatus { kNone, kDone, kCancelled };
+enum class Outcome { kNone, kDone, kCancelled };
 
 // A job that a user submits, and what responses have reported about it.
 struct UserJob {
@@ -28,7 +28,7 @@
   bool one_zone = false;           // all tasks must be in the same zone
 
   Submission submission = Submission::kPending;
-  FinalStatus final_status = FinalStatus::kNone;
+  Outcome final_status = Outcome::kNone;
   bool is_cancel_requested = false;
   int submit_status = 0;              // HTTP status of the last response to its submission
   double submitted_at = 0;            // time of the first attempt
@@ -38,7 +38,7 @@
   const std::string& id() const { return workload.id; }
   bool is_accepted() const { return submission == Submission::kAccepted; }
   // Returns whether a response has reported the job done or cancelled.
-  bool has_final_status() const { return final_status != FinalStatus::kNone; }
+  bool has_final_status() const { return final_status != Outcome::kNone; }
   // Return whether the job may run on machines of the type, or in the zone.
   bool allows_type(const std::string& name) const;
   bool allows_zone(const std::string& name) const { return zone.empty() || zone == name; }
--- a/tests/standins/users.cc
+++ b/tests/standins/users.cc
@@ -86,10 +86,10 @@
                              bool is_poll) {
   UserJob& job = jobs_.at(job_id);
   if (response.status == 200 || response.status == 201) job.last_response_at = simulation_.now();
-  const FinalStatus final_status = rules_.check_status_response(job, response, is_poll);
-  if (final_status == FinalStatus::kNone) return;
+  const Outcome final_status = rules_.check_status_response(job, response, is_poll);
+  if (final_status == Outcome::kNone) return;
   job.final_status = final_status;
-  if (final_status == FinalStatus::kCancelled && job.reported_cancelled_at < 0)
+  if (final_status == Outcome::kCancelled && job.reported_cancelled_at < 0)
     job.reported_cancelled_at = simulation_.now();
 }
 
