--- a/tests/standins/deployment_settings.cc
+++ b/tests/standins/deployment_settings.cc
@@ -8,13 +8,13 @@
 
 std::string label_of(size_t controller) { return "c" + std::to_string(controller); }
 
-void set_store_limits(PlatformSettings& platform, const StoreLimits& present,
-                      const StoreLimits& coming) {
-  platform.store_writes_per_s = present.writes_per_s;
-  platform.store_next_writes_per_s = coming.writes_per_s;
-  platform.store_max_transaction_ops = coming.transaction_writes;
-  platform.store_current_max_value_bytes = present.value_bytes;
-  platform.store_max_value_bytes = coming.value_bytes;
+void set_store_limits(PlatformSettings& platform, const StoreLimits& current,
+                      const StoreLimits& announced) {
+  platform.store_writes_per_s = current.writes_per_s;
+  platform.store_next_writes_per_s = announced.writes_per_s;
+  platform.store_max_transaction_ops = announced.transaction_writes;
+  platform.store_current_max_value_bytes = current.value_bytes;
+  platform.store_max_value_bytes = announced.value_bytes;
 }
 
 PlatformSettings make_platform(size_t controller, const WorldOptions& options,
@@ -44,15 +44,15 @@
 std::vector<ControllerSettings> make_settings(const WorldOptions& options,
                                               const std::vector<std::string>& zones,
                                               const TeamQuotas& teams) {
-  const StoreLimits& present = options.store_limits;
-  const StoreLimits coming = options.announced_store_limits.value_or(present);
+  const StoreLimits& current = options.store_limits;
+  const StoreLimits announced = options.announced_store_limits.value_or(current);
   std::vector<ControllerSettings> all;
   for (size_t i = 0; i < options.controllers; ++i) {
     ControllerSettings settings;
     settings.first.platform = make_platform(i, options, zones, teams);
-    settings.present = settings.first;
-    set_store_limits(settings.first.platform, present, present);
-    set_store_limits(settings.present.platform, present, coming);
+    settings.current = settings.first;
+    set_store_limits(settings.first.platform, current, current);
+    set_store_limits(settings.current.platform, current, announced);
     all.push_back(std::move(settings));
   }
   return all;
--- a/tests/standins/first_version.cc
+++ b/tests/standins/first_version.cc
@@ -29,31 +29,32 @@
                                         "n", "oz", "pr", "sh", "sp", "st", "sv", "tm", "ty", "z"};
 const std::set<std::string> kDoneJobFields{"e", "n"};
 
-std::set<std::string> names_in(const json& object) {
+std::set<std::string> field_names(const json& object) {
   std::set<std::string> out;
   for (const auto& [name, value] : object.items()) out.insert(name);
   return out;
 }
 
-// Fields of each kind of message, and of the entries of a message of views.
+// The number of fields of the envelope, of each kind of message, and of each entry of a message
+// with views of machines.
 constexpr size_t kEnvelopeFields = 6, kViewFields = 13;
 constexpr int kViewsKind = 5;
 const std::map<int, size_t> kMessageFields{{1, 11}, {2, 1}, {3, 6}, {4, 5}, {5, 1}, {6, 2}};
 
 }  // namespace
 
-bool ignored_by_first_version(const std::string& key) {
+bool is_ignored_by_first_version(const std::string& key) {
   return key.rfind("rk/v/", 0) == 0 || key == "rk/upgrade";
 }
 
 std::string unknown_to_first_version(const std::string& key, const json& value) {
   if (!value.is_object()) return "a value that is no object: " + key;
-  const auto names = names_in(value);
+  const auto names = field_names(value);
   for (const auto& [kind, fields] : fields_by_kind()) {
     if (key.rfind(kind, 0) != 0) continue;
     if (kind == "rk/j/" && names == kDoneJobFields) return "";
     if (names != fields) return "fields of " + key + ": " + value.dump();
-    if (kind == "rk/j/" && names_in(value["s"]) != kSpecFields) return "specification of " + key;
+    if (kind == "rk/j/" && field_names(value["s"]) != kSpecFields) return "specification of " + key;
     return "";
   }
   return "key " + key;
