--- a/src/rooksill/quota/quota_shares.cc
+++ b/src/rooksill/quota/quota_shares.cc
@@ -17,8 +17,7 @@
 
 double largest_machine_size(const store::Replica& replica, double model::Resources::*amount) {
   double largest = 0;
-  for (const auto& [name, type] : replica.types)
-    largest = std::max(largest, type.capacity.* amount);
+  for (const auto& [name, type] : replica.types) largest = std::max(largest, type.capacity.*amount);
   return largest;
 }
 
--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -179,7 +179,9 @@
   world.faults().refuse_store_requests(controller_at(world, line, 1), duration(line));
 }
 
-void lower_store_limits(World& world, const Line&) { world.faults().apply_announced_store_limits(); }
+void lower_store_limits(World& world, const Line&) {
+  world.faults().apply_announced_store_limits();
+}
 
 void cloud_outage(World& world, const Line& line) { world.faults().cloud_outage(duration(line)); }
 
@@ -197,7 +199,9 @@
   world.faults().hang_machines(count(line), duration(line));
 }
 
-void break_machines(World& world, const Line& line) { world.faults().make_machines_faulty(count(line)); }
+void break_machines(World& world, const Line& line) {
+  world.faults().make_machines_faulty(count(line));
+}
 
 // ---- table ---------------------------------------------------------------------------------
 
