--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -20,47 +20,47 @@
 constexpr uint64_t kSeed = 7;
 constexpr int kDefaultRounds = 2000;
 constexpr uint32_t kMaxTasks = 100000;  // of a job, by the protocol
-constexpr size_t kMaxHttpHeaders = 128, kMaxHttpBody = 32;
+constexpr size_t kMaxHttpHeaderBytes = 128, kMaxHttpBodyBytes = 32;
 
 // ---- codecs: whether they take the text. They fail the line if they take what they must not. ---
 
-bool take_heartbeat(const Line&, const std::string& text) {
+bool accepts_heartbeat(const Line&, const std::string& text) {
   return rooksill::wire::parse_heartbeat(text).has_value();
 }
 
 // A job that is taken has to decode to the same record again.
-bool take_job(const Line& line, const std::string& text) {
+bool accepts_job(const Line& line, const std::string& text) {
   const auto spec = rooksill::wire::parse_job(text);
   if (!spec) {
     if (spec.error().message().empty()) fail(line, "refused without a reason");
     return false;
   }
   const auto encoded = rooksill::wire::encode_spec(*spec);
-  const auto again = rooksill::wire::decode_spec(encoded);
-  if (!again || rooksill::wire::encode_spec(*again) != encoded)
+  const auto decoded_again = rooksill::wire::decode_spec(encoded);
+  if (!decoded_again || rooksill::wire::encode_spec(*decoded_again) != encoded)
     fail(line, "does not come back: " + text);
   if (spec->tasks < 1 || spec->tasks > kMaxTasks) fail(line, "impossible count");
   return true;
 }
 
-bool take_list(const Line&, const std::string& text) {
+bool accepts_list(const Line&, const std::string& text) {
   return rooksill::wire::parse_list(text).has_value();
 }
 
-bool take_catalog(const Line&, const std::string& text) {
+bool accepts_catalog(const Line&, const std::string& text) {
   return rooksill::wire::parse_catalog(text).has_value();
 }
 
-bool take_http(const Line& line, const std::string& text) {
+bool accepts_http(const Line& line, const std::string& text) {
   using rooksill::net::HttpParser;
-  HttpParser parser(HttpParser::Kind::kRequest, kMaxHttpHeaders, kMaxHttpBody);
+  HttpParser parser(HttpParser::Kind::kRequest, kMaxHttpHeaderBytes, kMaxHttpBodyBytes);
   size_t used = 0;
   if (parser.feed(text, used) != HttpParser::State::kDone) return false;
-  if (parser.take().body.size() > kMaxHttpBody) fail(line, "body over its bound");
+  if (parser.take().body.size() > kMaxHttpBodyBytes) fail(line, "body over its bound");
   return true;
 }
 
-bool take_peer_message(const Line&, const std::string& text) {
+bool accepts_peer_message(const Line&, const std::string& text) {
   return rooksill::wire::unpack<rooksill::wire::MachineStatusUpdate>(text).has_value();
 }
 
@@ -70,52 +70,52 @@
   return rooksill::wire::pack(update);
 }
 
-struct Target {
+struct Codec {
   std::string name;
-  std::string sample;  // a whole message, which is taken
-  bool (*take)(const Line&, const std::string& text);
+  std::string valid_message;  // a whole message, which is taken
+  bool (*accepts)(const Line&, const std::string& text);
 };
 
-const std::vector<Target>& targets() {
-  static const std::vector<Target> kTargets{
+const std::vector<Codec>& codecs() {
+  static const std::vector<Codec> kCodecs{
       {"report",
        R"({"perch":"n-000231","address":"10.1.0.232:9000","build":"g8","ward":"a","loaners":true,"tenure":1,"tally":88,"baton":41,"warning_s":null,"pieces":[{"piece":"wk-000412/3","try":2,"status":"running"}]})",
-       take_heartbeat},
+       accepts_heartbeat},
       {"job",
        R"({"id":"wk-000412","flock":"t","owner":"v","shape":"batch","rank":"urgent","pieces":16,"cores":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"i","size_gb":6.2,"builds":["g8"],"ward":null,"together":true,"spread":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0})",
-       take_job},
+       accepts_job},
       {"list",
        R"({"perches":[{"id":"n-1","address":"a:1","build":"g8","ward":"a","loaners":true,"status":"running","held_s":61.5}],"truncated":false})",
-       take_list},
+       accepts_list},
       {"catalog",
        R"({"builds":[{"label":"g8","cores":96,"gpus":8,"memory_gb":768,"local_gb":200,"pull_gb_per_s":1.0,"hourly":12.0,"market_price":4.5,"ready_s":45,"wards":["a","b"]}]})",
-       take_catalog},
-      {"http", "POST /api/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello", take_http},
-      {"peer", make_peer_message(), take_peer_message},
+       accepts_catalog},
+      {"http", "POST /api/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello", accepts_http},
+      {"peer", make_peer_message(), accepts_peer_message},
   };
-  return kTargets;
+  return kCodecs;
 }
 
-const Target& target_of(const Line& line) {
-  const auto it = std::find_if(targets().begin(), targets().end(),
-                               [&](const Target& target) { return target.name == line.word(0); });
-  if (it == targets().end()) fail(line, "unknown codec '" + line.word(0) + "'");
+const Codec& find_codec(const Line& line) {
+  const auto it = std::find_if(codecs().begin(), codecs().end(),
+                               [&](const Codec& codec) { return codec.name == line.word(0); });
+  if (it == codecs().end()) fail(line, "unknown codec '" + line.word(0) + "'");
   return *it;
 }
 
 void mutate(std::string& text, std::mt19937_64& rng) {
-  for (uint64_t k = 0; k < 1 + rng() % 4; ++k) text[rng() % text.size()] = static_cast<char>(rng());
+  for (uint64_t i = 0; i < 1 + rng() % 4; ++i) text[rng() % text.size()] = static_cast<char>(rng());
   if (rng() % 3 == 0) text.resize(rng() % text.size());
 }
 
 void run_rounds(const Line& line, std::mt19937_64& rng) {
-  const Target& target = target_of(line);
-  if (!target.take(line, target.sample)) fail(line, "the whole message is not taken");
+  const Codec& codec = find_codec(line);
+  if (!codec.accepts(line, codec.valid_message)) fail(line, "the whole message is not taken");
   const int rounds = line.get_integer("rounds", kDefaultRounds);
   for (int i = 1; i < rounds; ++i) {
-    std::string text = target.sample;
+    std::string text = codec.valid_message;
     mutate(text, rng);
-    target.take(line, text);
+    codec.accepts(line, text);
   }
 }
 
--- a/tests/runner/http.cc
+++ b/tests/runner/http.cc
@@ -11,7 +11,7 @@
 
 using rooksill::net::HttpParser;
 
-constexpr size_t kMaxHeaders = 256, kMaxBody = 64;  // bytes
+constexpr size_t kMaxHeaderBytes = 256, kMaxBodyBytes = 64;  // bytes
 
 // Scenario words hold no white space: "\r", "\n" and "\s" stand for it.
 std::string unescape(const std::string& text) {
@@ -29,7 +29,7 @@
 
 // `ok`, `more`, or the status by which the parser refuses the message.
 std::string parse_in_pieces(const std::string& text, size_t piece_size, HttpParser::Kind kind) {
-  HttpParser parser(kind, kMaxHeaders, kMaxBody);
+  HttpParser parser(kind, kMaxHeaderBytes, kMaxBodyBytes);
   for (size_t at = 0; at < text.size(); at += piece_size) {
     size_t used = 0;
     const auto state = parser.feed(std::string_view(text).substr(at, piece_size), used);
--- a/tests/runner/job_line.cc
+++ b/tests/runner/job_line.cc
@@ -18,9 +18,11 @@
   const std::string name = line.text("shape", kDefaultShape);
   if (name == "service") return Shape::kService;
   if (name == "gang") return Shape::kGang;
-  return Shape::kArray;  // also for unknown ones, which the controllers have to reject
+  // Unknown shapes count as arrays here: they reach the controllers, which have to reject them.
+  return Shape::kArray;
 }
 
+// Returns the name of the shape in the user API. Unknown shapes are passed through.
 std::string wire_shape(const Line& line) {
   const std::string name = line.text("shape", kDefaultShape);
   return name == "array" ? "batch" : name == "gang" ? "ensemble" : name;
@@ -42,6 +44,7 @@
   return workload;
 }
 
+// Builds the JSON body of the submission; its field names are those of the user API.
 json make_body(const Line& line, const UserJob& job) {
   const Workload& workload = job.workload;
   return json{{"id", workload.id},
@@ -66,7 +69,9 @@
               {"due_s", nullptr}};
 }
 
-void change_body(const Line& line, json& body) {
+// Applies the parameters `body.NAME=VALUE` and `drop=NAME`. A value that is not JSON is sent as a
+// string.
+void override_body_fields(const Line& line, json& body) {
   for (const auto& [name, text] : line.parameters) {
     if (name.rfind(kBodyPrefix, 0) != 0) continue;
     json value = json::parse(text, nullptr, false);
@@ -103,7 +108,7 @@
   job.spread = line.get_flag("spread");
   job.one_zone = line.get_flag("one_zone");
   job.body = make_body(line, job);
-  change_body(line, job.body);
+  override_body_fields(line, job.body);
   return job;
 }
 
--- a/tests/runner/job_line.h
+++ b/tests/runner/job_line.h
@@ -1,4 +1,4 @@
-// Jobs as scenario lines describe them.
+// Builds the jobs that scenario lines describe.
 #pragma once
 
 #include <string>
@@ -9,12 +9,15 @@
 
 namespace runner {
 
-// The ID of the job that scenarios call by this number.
+// Returns the ID of the job that scenario files refer to by this number: "wk-" and at least six
+// digits.
 std::string job_id(int number);
 
-// What read_job() understands. `body.NAME=` replaces a field of the submission, `drop=` leaves one
-// out.
+// Returns the names of the parameters that read_job() accepts. `body.NAME=` overrides a field of the
+// submitted JSON body; `drop=` removes one.
 const std::vector<std::string>& job_parameters();
+// Builds the job with this ID from a line's parameters, with defaults for those it lacks. The result
+// includes the JSON body to submit.
 standins::UserJob read_job(const Line& line, const std::string& id);
 
 }  // namespace runner
--- a/tests/runner/kinds.h
+++ b/tests/runner/kinds.h
@@ -1,4 +1,5 @@
-// The kinds of scenario. Each throws a Failure, or another exception, if the scenario fails.
+// Entry points of the scenario kinds, one for each value of a file's `kind` line. Each runs all lines
+// of a scenario and throws a Failure, or another exception, if the scenario fails.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +9,24 @@
 
 namespace runner {
 
-// Real cores in simulated time against the stand-ins. Returns a digest of all that the controllers
-// did (standins/effects_digest.h).
-uint64_t play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
-// Figures of the paper's rule against values worked out apart from the code.
+// Runs the real controller code in simulated time against simulated users, machines, store and cloud.
+// Returns a digest of all effects that the controllers requested (standins/effects_digest.h), by
+// which two runs can be compared. `verbose` turns on the controllers' log.
+uint64_t run_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
+// Compares the results of the fleet-sizing rule and of the demand estimates with values that were
+// computed independently of the code.
 void run_sizing(const std::vector<Line>& lines);
-// Messages whole and in pieces.
+// Feeds HTTP messages to the parser, whole and in fragments, and checks the result.
 void run_http(const std::vector<Line>& lines);
-// Truncated and mutated input to the codecs, from a fixed seed.
+// Feeds truncated and mutated messages to the codecs and the HTTP parser, from a fixed seed.
 void run_fuzz(const std::vector<Line>& lines);
-// Values and messages of the version before upgrade records.
+// Decodes and re-encodes recorded store values and peer messages of the first version, which has no
+// upgrade records.
 void run_recorded(const std::vector<Line>& lines);
-// A controller's copy of the lists of machines.
+// Applies pages of the machine lists to a controller's replica of the store.
 void run_replica(const std::vector<Line>& lines);
-// The platform's settings, with single fields set: accepted, or refused with the field's name.
+// Parses the platform settings with single fields changed, and checks that they are accepted or
+// rejected with an error that names the field.
 void run_settings(const std::vector<Line>& lines);
 
 }  // namespace runner
--- a/tests/runner/line.cc
+++ b/tests/runner/line.cc
@@ -16,7 +16,7 @@
   } catch (const std::logic_error&) {
     used = 0;
   }
-  if (used == 0 || used != text.size()) fail(line, "'" + text + "' is no number");
+  if (used == 0 || used != text.size()) fail(line, "'" + text + "' is not a number");
   return number;
 }
 
@@ -38,7 +38,7 @@
 
 const std::string& Line::word(size_t i) const {
   if (i >= words.size())
-    fail(*this, (words.empty() ? "it" : "'" + words.back() + "'") + " lacks a word after it");
+    fail(*this, (words.empty() ? "the line" : "'" + words.back() + "'") + " requires another word after it");
   return words[i];
 }
 
@@ -46,22 +46,22 @@
 
 int Line::integer_at(size_t i) const { return static_cast<int>(number_at(i)); }
 
-double Line::get(const std::string& name, double otherwise) const {
+double Line::get(const std::string& name, double default_value) const {
   auto it = parameters.find(name);
-  return it == parameters.end() ? otherwise : parse_number(*this, it->second);
+  return it == parameters.end() ? default_value : parse_number(*this, it->second);
 }
 
-int Line::get_integer(const std::string& name, int otherwise) const {
-  return static_cast<int>(get(name, otherwise));
+int Line::get_integer(const std::string& name, int default_value) const {
+  return static_cast<int>(get(name, default_value));
 }
 
-std::string Line::text(const std::string& name, const std::string& otherwise) const {
+std::string Line::text(const std::string& name, const std::string& default_value) const {
   auto it = parameters.find(name);
-  return it == parameters.end() ? otherwise : it->second;
+  return it == parameters.end() ? default_value : it->second;
 }
 
 Line Line::without_words(size_t count) const {
-  if (count > words.size()) fail(*this, "too short");
+  if (count > words.size()) fail(*this, "the line has too few words");
   Line rest = *this;
   rest.words.erase(rest.words.begin(), rest.words.begin() + static_cast<std::ptrdiff_t>(count));
   return rest;
@@ -74,7 +74,7 @@
   return parts;
 }
 
-std::vector<Line> parse(const std::string& path) {
+std::vector<Line> parse_scenario(const std::string& path) {
   std::ifstream in(path);
   if (!in) throw Failure(path + ": cannot be read");
   std::vector<Line> lines;
@@ -86,13 +86,13 @@
   return lines;
 }
 
-void fail(const Line& line, const std::string& why) {
-  throw Failure("line " + std::to_string(line.number) + ": " + why);
+void fail(const Line& line, const std::string& reason) {
+  throw Failure("line " + std::to_string(line.number) + ": " + reason);
 }
 
-void near(const Line& line, double got, double wanted, double tolerance) {
-  if (std::abs(got - wanted) > tolerance)
-    fail(line, "got " + std::to_string(got) + ", expected " + std::to_string(wanted));
+void expect_near(const Line& line, double got, double expected, double tolerance) {
+  if (std::abs(got - expected) > tolerance)
+    fail(line, "got " + std::to_string(got) + ", expected " + std::to_string(expected));
 }
 
 }  // namespace runner
--- a/tests/runner/main.cc
+++ b/tests/runner/main.cc
@@ -13,7 +13,7 @@
 
 struct Arguments {
   std::string path;
-  std::vector<uint64_t> seeds;  // empty: those that the file names
+  std::vector<uint64_t> seeds;  // if empty, the seeds of the `kind` line apply
   bool verbose = false;
   bool print_effects = false;
 };
@@ -35,8 +35,8 @@
 
 using KindFunction = void (*)(const std::vector<Line>&);
 
-// Those that do not depend on a seed.
-const std::map<std::string, KindFunction>& kinds_without_seed() {
+// Returns the scenario kinds that do not depend on a seed, by name.
+const std::map<std::string, KindFunction>& seedless_kinds() {
   static const std::map<std::string, KindFunction> kKinds{
       {"fuzz", runner::run_fuzz},         {"http", runner::run_http},
       {"recorded", runner::run_recorded}, {"replica", runner::run_replica},
@@ -45,18 +45,19 @@
   return kKinds;
 }
 
-// A first line `kind world seeds=N first=N` names the seeds; without it there is one.
-std::vector<uint64_t> seeds_of(const Line& head) {
+// Returns the seeds that the line `kind world seeds=N first=N` selects. Without its parameters that
+// is the single seed 1.
+std::vector<uint64_t> read_seeds(const Line& kind_line) {
   std::vector<uint64_t> seeds;
-  const auto first = static_cast<uint64_t>(head.get("first", 1));
-  for (uint64_t i = 0; i < static_cast<uint64_t>(head.get("seeds", 1)); ++i)
+  const auto first = static_cast<uint64_t>(kind_line.get("first", 1));
+  for (uint64_t i = 0; i < static_cast<uint64_t>(kind_line.get("seeds", 1)); ++i)
     seeds.push_back(first + i);
   return seeds;
 }
 
-void play_seed(const Arguments& arguments, const std::vector<Line>& lines, uint64_t seed) {
+void run_seed(const Arguments& arguments, const std::vector<Line>& lines, uint64_t seed) {
   try {
-    const uint64_t digest = runner::play_world(lines, seed, arguments.verbose);
+    const uint64_t digest = runner::run_world(lines, seed, arguments.verbose);
     if (arguments.print_effects)
       std::cout << arguments.path << " seed " << seed << " effects " << digest << "\n";
   } catch (const std::exception& error) {
@@ -65,15 +66,15 @@
 }
 
 void run(const Arguments& arguments) {
-  const auto lines = runner::parse(arguments.path);
-  const bool has_head = !lines.empty() && lines.front().word(0) == "kind";
-  const Line head = has_head ? lines.front() : Line{};
-  const std::string kind = has_head ? head.word(1) : "world";
-  const auto known = kinds_without_seed().find(kind);
-  if (known != kinds_without_seed().end()) return known->second(lines);
-  if (kind != "world") fail(head, "unknown kind '" + kind + "'");
-  const auto& seeds = arguments.seeds.empty() ? seeds_of(head) : arguments.seeds;
-  for (const uint64_t seed : seeds) play_seed(arguments, lines, seed);
+  const auto lines = runner::parse_scenario(arguments.path);
+  const bool has_kind_line = !lines.empty() && lines.front().word(0) == "kind";
+  const Line kind_line = has_kind_line ? lines.front() : Line{};
+  const std::string kind = has_kind_line ? kind_line.word(1) : "world";
+  const auto seedless_kind = seedless_kinds().find(kind);
+  if (seedless_kind != seedless_kinds().end()) return seedless_kind->second(lines);
+  if (kind != "world") fail(kind_line, "unknown scenario kind '" + kind + "'");
+  const auto& seeds = arguments.seeds.empty() ? read_seeds(kind_line) : arguments.seeds;
+  for (const uint64_t seed : seeds) run_seed(arguments, lines, seed);
 }
 
 }  // namespace
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string from_hex(const std::string& hex) {
+std::string decode_hex(const std::string& hex) {
   std::string out;
   for (size_t i = 0; i + 1 < hex.size(); i += 2)
     out.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
@@ -19,33 +19,33 @@
 
 // Reads a payload as its type and writes it again.
 template <typename Message>
-std::string written_again(const std::string& bytes) {
+std::string repack(const std::string& bytes) {
   const auto message = rooksill::wire::unpack<Message>(bytes);
   return message ? rooksill::wire::pack(*message) : "";
 }
 
-std::string message_again(const std::string& bytes) {
+std::string repack_envelope(const std::string& bytes) {
   auto unpacked = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
   if (!unpacked) return "";
   rooksill::wire::Envelope& envelope = *unpacked;
   switch (static_cast<rooksill::wire::PeerKind>(envelope.kind)) {
     case rooksill::wire::PeerKind::kHeartbeat:
-      envelope.payload = written_again<rooksill::wire::ControllerHeartbeat>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::ControllerHeartbeat>(envelope.payload);
       break;
     case rooksill::wire::PeerKind::kUpdates:
-      envelope.payload = written_again<rooksill::wire::Updates>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::Updates>(envelope.payload);
       break;
     case rooksill::wire::PeerKind::kRouting:
-      envelope.payload = written_again<rooksill::wire::RoutingUpdate>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::RoutingUpdate>(envelope.payload);
       break;
     case rooksill::wire::PeerKind::kUnassignedMachine:
-      envelope.payload = written_again<rooksill::wire::UnassignedMachine>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::UnassignedMachine>(envelope.payload);
       break;
     case rooksill::wire::PeerKind::kMachineStatus:
-      envelope.payload = written_again<rooksill::wire::MachineStatusUpdate>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::MachineStatusUpdate>(envelope.payload);
       break;
     case rooksill::wire::PeerKind::kCancelled:
-      envelope.payload = written_again<rooksill::wire::Cancelled>(envelope.payload);
+      envelope.payload = repack<rooksill::wire::Cancelled>(envelope.payload);
       break;
   }
   return rooksill::wire::pack(envelope);
@@ -53,39 +53,39 @@
 
 // What was decoded, encoded again; null if it was not taken.
 template <typename Record>
-nlohmann::json encoded_again(const rooksill::wire::Decoded<Record>& record,
+nlohmann::json reencode(const rooksill::wire::Decoded<Record>& record,
                              nlohmann::json (*encode)(const Record&)) {
   return record ? encode(*record) : nlohmann::json();
 }
 
-nlohmann::json value_again(const std::string& key, const nlohmann::json& value) {
+nlohmann::json reencode_value(const std::string& key, const nlohmann::json& value) {
   namespace wire = rooksill::wire;
   const auto parsed = wire::parse_store_key(key);
   if (!parsed) return nullptr;
   switch (parsed->kind) {
     case wire::KeyKind::kJob:
-      return encoded_again(wire::decode_job(value), wire::encode_job);
+      return reencode(wire::decode_job(value), wire::encode_job);
     case wire::KeyKind::kShard:
-      return encoded_again(wire::decode_shard(value, value.at("p").size()), wire::encode_shard);
+      return reencode(wire::decode_shard(value, value.at("p").size()), wire::encode_shard);
     case wire::KeyKind::kLease:
-      return encoded_again(wire::decode_lease(value), wire::encode_lease);
+      return reencode(wire::decode_lease(value), wire::encode_lease);
     case wire::KeyKind::kMachines:
-      return encoded_again(wire::decode_machines(value), wire::encode_machines);
+      return reencode(wire::decode_machines(value), wire::encode_machines);
     case wire::KeyKind::kLiveness:
-      return encoded_again(wire::decode_liveness(value), wire::encode_liveness);
+      return reencode(wire::decode_liveness(value), wire::encode_liveness);
     case wire::KeyKind::kVersion:
-      return encoded_again(wire::decode_version(value), wire::encode_version);
+      return reencode(wire::decode_version(value), wire::encode_version);
     case wire::KeyKind::kQuota:
-      return encoded_again(wire::decode_quota_division(value, value.at("c").size()),
+      return reencode(wire::decode_quota_division(value, value.at("c").size()),
                            wire::encode_quota_division);
     case wire::KeyKind::kMachineType:
-      return encoded_again(wire::decode_type(value), wire::encode_type);
+      return reencode(wire::decode_type(value), wire::encode_type);
     case wire::KeyKind::kLeader:
-      return encoded_again(wire::decode_leadership(value), wire::encode_leadership);
+      return reencode(wire::decode_leadership(value), wire::encode_leadership);
     case wire::KeyKind::kTerm:
       return wire::encode_term(*wire::decode_term(value));
     case wire::KeyKind::kUpgrade:
-      return encoded_again(wire::decode_upgrade(value), wire::encode_upgrade);
+      return reencode(wire::decode_upgrade(value), wire::encode_upgrade);
   }
   return nullptr;
 }
@@ -95,20 +95,20 @@
 // What the version before wrote and sent is read, and written back the same; and the description of
 // that version in the stand-ins knows all of it.
 void run_recorded(const std::vector<Line>& lines) {
-  for (const auto& l : lines) {
-    if (l.word(0) == "kind") continue;
-    if (l.word(0) == "message") {
-      const std::string bytes = from_hex(l.word(2));
-      if (message_again(bytes) != bytes) fail(l, "does not come back");
+  for (const auto& line : lines) {
+    if (line.word(0) == "kind") continue;
+    if (line.word(0) == "message") {
+      const std::string bytes = decode_hex(line.word(2));
+      if (repack_envelope(bytes) != bytes) fail(line, "does not come back");
       if (auto unknown = standins::unknown_to_first_version(bytes); !unknown.empty())
-        fail(l, unknown);
+        fail(line, unknown);
       continue;
     }
-    const std::string& key = l.words[1];
-    const auto value = nlohmann::json::parse(l.word(2));
-    if (value_again(key, value) != value) fail(l, "does not come back");
+    const std::string& key = line.words[1];
+    const auto value = nlohmann::json::parse(line.word(2));
+    if (reencode_value(key, value) != value) fail(line, "does not come back");
     if (auto unknown = standins::unknown_to_first_version(key, value); !unknown.empty())
-      fail(l, unknown);
+      fail(line, unknown);
   }
 }
 
--- a/tests/runner/replica.cc
+++ b/tests/runner/replica.cc
@@ -18,7 +18,7 @@
 using rooksill::store::Replica;
 
 // page PARTITION PAGE REVISION MACHINE…
-void page(Replica& replica, const Line& line) {
+void apply_page(Replica& replica, const Line& line) {
   std::map<std::string, Machine> machines;
   for (size_t i = 4; i < line.words.size(); ++i) {
     Machine machine;
@@ -29,28 +29,28 @@
   }
   const auto key = rooksill::wire::machines_key(line.integer_at(1), line.integer_at(2));
   const Revision revision{static_cast<uint64_t>(line.integer_at(3))};
-  const bool taken = replica.apply(key, rooksill::wire::encode_machines(machines), revision);
-  if (taken != (line.get("taken", 1) != 0)) fail(line, taken ? "taken" : "not taken");
+  const bool applied = replica.apply(key, rooksill::wire::encode_machines(machines), revision);
+  if (applied != (line.get("taken", 1) != 0)) fail(line, applied ? "taken" : "not taken");
 }
 
 // on MACHINE PAGE
-void on(Replica& replica, const Line& line) {
+void expect_on_page(Replica& replica, const Line& line) {
   const Machine* machine = replica.machine(line.word(1));
   if (machine == nullptr) fail(line, "gone");
-  near(line, machine->page, line.number_at(2), 0);
+  expect_near(line, machine->page, line.number_at(2), 0);
 }
 
 // gone MACHINE
-void gone(Replica& replica, const Line& line) {
+void expect_unknown(Replica& replica, const Line& line) {
   if (replica.machine(line.word(1)) != nullptr) fail(line, "known");
 }
 
 const VerbTable<Replica>& verbs() {
   static const VerbTable<Replica> kVerbs("verb", {
                                                      {"kind", {}, [](Replica&, const Line&) {}},
-                                                     {"page", {"taken"}, page},
-                                                     {"on", {}, on},
-                                                     {"gone", {}, gone},
+                                                     {"page", {"taken"}, apply_page},
+                                                     {"on", {}, expect_on_page},
+                                                     {"gone", {}, expect_unknown},
                                                  });
   return kVerbs;
 }
--- a/tests/runner/settings.cc
+++ b/tests/runner/settings.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-const char* const kSettings = R"({
+const char* const kValidSettings = R"({
   "label": "c0", "site": "a", "api_addr": "10.0.0.1:8080", "back": "10.0.0.1:8081", "siblings": [],
   "outside": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
   "facts": {
@@ -20,19 +20,19 @@
     "resources": {"cores": 0.24, "mem_mb": 104, "max_sockets": 2000}, "clock_error_ms": 100}})";
 
 // "a.b" as the pointer "/a/b".
-nlohmann::json::json_pointer pointer(const std::string& field) {
+nlohmann::json::json_pointer to_json_pointer(const std::string& field) {
   std::string path;
   for (const auto& part : split(field, '.')) path += "/" + part;
   return nlohmann::json::json_pointer(path);
 }
 
-void check(const Line& line, const rooksill::PlatformSettings& s) {
+void check_effective_limits(const Line& line, const rooksill::PlatformSettings& settings) {
   if (line.parameters.count("is.value_bytes") != 0)
-    near(line, static_cast<double>(s.state_value_bytes), line.get("is.value_bytes", 0), 0);
+    expect_near(line, static_cast<double>(settings.state_value_bytes), line.get("is.value_bytes", 0), 0);
   if (line.parameters.count("is.txn_ops") != 0)
-    near(line, static_cast<double>(s.state_txn_ops), line.get("is.txn_ops", 0), 0);
+    expect_near(line, static_cast<double>(settings.state_txn_ops), line.get("is.txn_ops", 0), 0);
   if (line.parameters.count("is.next_write_rps") != 0)
-    near(line, s.state_next_write_rps, line.get("is.next_write_rps", 0), 0);
+    expect_near(line, settings.state_next_write_rps, line.get("is.next_write_rps", 0), 0);
 }
 
 }  // namespace
@@ -41,23 +41,23 @@
   for (const auto& line : lines) {
     const std::string verb = line.word(0);
     if (verb == "kind") continue;
-    auto settings = nlohmann::json::parse(kSettings);
+    auto settings = nlohmann::json::parse(kValidSettings);
     for (const auto& [field, value] : line.parameters) {
       if (field.rfind("is.", 0) == 0) continue;
       if (value == "drop")
-        settings = settings.patch({{{"op", "remove"}, {"path", pointer(field).to_string()}}});
+        settings = settings.patch({{{"op", "remove"}, {"path", to_json_pointer(field).to_string()}}});
       else
-        settings[pointer(field)] = nlohmann::json::parse(value);
+        settings[to_json_pointer(field)] = nlohmann::json::parse(value);
     }
-    std::string refused;
+    std::string rejection;
     try {
-      check(line, rooksill::parse_platform(settings.dump()));
+      check_effective_limits(line, rooksill::parse_platform(settings.dump()));
     } catch (const rooksill::SettingsError& error) {
-      refused = error.what();
+      rejection = error.what();
     }
-    if (verb == "accept" && !refused.empty()) fail(line, refused);
-    if (verb == "refuse" && refused.find(line.word(1)) == std::string::npos)
-      fail(line, refused.empty() ? "accepted" : refused);
+    if (verb == "accept" && !rejection.empty()) fail(line, rejection);
+    if (verb == "refuse" && rejection.find(line.word(1)) == std::string::npos)
+      fail(line, rejection.empty() ? "accepted" : rejection);
   }
 }
 
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -14,28 +14,28 @@
 
 constexpr double kTolerance = 1e-6;
 
-void expect_near(const Line& line, double got) {
-  near(line, got, line.get("is", 0), line.get("within", kTolerance));
+void expect_figure(const Line& line, double got) {
+  expect_near(line, got, line.get("is", 0), line.get("within", kTolerance));
 }
 
-void busy(policy::Demand&, const Line& line) {
-  expect_near(line, policy::expected_busy(line.get("t", 1), line.get("y", 0), line.get("mu", 1),
+void check_expected_busy(policy::Demand&, const Line& line) {
+  expect_figure(line, policy::expected_busy(line.get("t", 1), line.get("y", 0), line.get("mu", 1),
                                           line.get("lambda", 1)));
 }
 
-void full(policy::Demand&, const Line& line) {
-  expect_near(line, policy::chance_full(line.get("s", 1), line.get_integer("y", 0),
+void check_chance_full(policy::Demand&, const Line& line) {
+  expect_figure(line, policy::chance_full(line.get("s", 1), line.get_integer("y", 0),
                                         line.get_integer("rented", 1), line.get("mu", 1),
                                         line.get("lambda", 1)));
 }
 
-void unplanned(policy::Demand&, const Line& line) {
-  expect_near(line, policy::expected_unplanned(line.get("t", 1), line.get_integer("y", 0),
+void check_expected_unplanned(policy::Demand&, const Line& line) {
+  expect_figure(line, policy::expected_unplanned(line.get("t", 1), line.get_integer("y", 0),
                                                line.get_integer("rented", 1), line.get("mu", 1),
                                                line.get("lambda", 1)));
 }
 
-policy::SizingInput read_input(const Line& line) {
+policy::SizingInput read_sizing_input(const Line& line) {
   policy::SizingInput input;
   input.x = line.get_integer("x", 0);
   input.y = line.get("y", 0);
@@ -49,43 +49,43 @@
   return input;
 }
 
-void size(policy::Demand&, const Line& line) {
-  const auto result = policy::size_fleet(read_input(line));
-  if (line.has("u")) near(line, result.u, line.get("u", 0), 0);
+void check_fleet_size(policy::Demand&, const Line& line) {
+  const auto result = policy::size_fleet(read_sizing_input(line));
+  if (line.has("u")) expect_near(line, result.u, line.get("u", 0), 0);
   if (line.has("at_least") && result.u < line.get("at_least", 0))
     fail(line, "u is " + std::to_string(result.u));
   if (line.has("at_most") && result.u > line.get("at_most", 0))
     fail(line, "u is " + std::to_string(result.u));
   if (line.has("cost"))
-    near(line, result.cost, line.get("cost", 0), line.get("within", kTolerance));
+    expect_near(line, result.cost, line.get("cost", 0), line.get("within", kTolerance));
 }
 
-void period(policy::Demand& demand, const Line& line) {
+void record_period(policy::Demand& demand, const Line& line) {
   demand.record_arrival(line.get("arrived", 0));
   demand.record_completion(line.get("finished", 0));
   demand.record_busy(line.get("busy", 0), 1);
   demand.end_period(1, line.get("cap", 3));
 }
 
-void demand(policy::Demand& demand, const Line& line) {
+void check_demand_estimates(policy::Demand& demand, const Line& line) {
   const double tolerance = line.get("within", kTolerance);
-  if (line.has("lambda")) near(line, demand.lambda(), line.get("lambda", 0), tolerance);
-  if (line.has("mu")) near(line, demand.mu(), line.get("mu", 0), tolerance);
+  if (line.has("lambda")) expect_near(line, demand.lambda(), line.get("lambda", 0), tolerance);
+  if (line.has("mu")) expect_near(line, demand.mu(), line.get("mu", 0), tolerance);
 }
 
 const VerbTable<policy::Demand>& verbs() {
   static const VerbTable<policy::Demand> kVerbs(
       "figure", {
                     {"kind", {}, [](policy::Demand&, const Line&) {}},
-                    {"busy", {"t", "y", "mu", "lambda", "is", "within"}, busy},
-                    {"full", {"s", "y", "rented", "mu", "lambda", "is", "within"}, full},
-                    {"unplanned", {"t", "y", "rented", "mu", "lambda", "is", "within"}, unplanned},
+                    {"busy", {"t", "y", "mu", "lambda", "is", "within"}, check_expected_busy},
+                    {"full", {"s", "y", "rented", "mu", "lambda", "is", "within"}, check_chance_full},
+                    {"unplanned", {"t", "y", "rented", "mu", "lambda", "is", "within"}, check_expected_unplanned},
                     {"size",
                      {"x", "y", "lambda", "mu", "ceiling", "periods", "c1", "c2", "h", "u",
                       "at_least", "at_most", "cost", "within"},
-                     size},
-                    {"period", {"arrived", "finished", "busy", "cap"}, period},
-                    {"demand", {"lambda", "mu", "within"}, demand},
+                     check_fleet_size},
+                    {"period", {"arrived", "finished", "busy", "cap"}, record_period},
+                    {"demand", {"lambda", "mu", "within"}, check_demand_estimates},
                 });
   return kVerbs;
 }
--- a/tests/runner/verb_table.h
+++ b/tests/runner/verb_table.h
@@ -1,4 +1,4 @@
-// Tables of the verbs that a scenario's lines may begin with.
+// Dispatches scenario lines to handler functions by their first word, the verb.
 #pragma once
 
 #include <algorithm>
@@ -10,48 +10,50 @@
 
 namespace runner {
 
+// A verb with its handler. `Context` is the state that handlers read or change.
 template <typename Context>
 struct Verb {
   const char* name;
-  // The parameters it knows. One that ends in '.' stands for all that begin with it.
+  // Names of the accepted parameters. A name that ends in '.' accepts all that begin with it.
   std::vector<std::string> parameters;
-  void (*run)(Context&, const Line&);
+  void (*handler)(Context&, const Line&);
 };
 
-// Finds the handler of a line by the line's first word.
+// The set of verbs that are valid in one place of a scenario file.
 template <typename Context>
 class VerbTable {
  public:
-  // `kind` says in messages what the verbs are.
-  VerbTable(std::string kind, std::initializer_list<Verb<Context>> verbs)
-      : kind_(std::move(kind)), verbs_(verbs) {}
+  // `category` is what error messages call these verbs, such as "action".
+  VerbTable(std::string category, std::initializer_list<Verb<Context>> verbs)
+      : category_(std::move(category)), verbs_(verbs) {}
 
-  // Throws a Failure that names line and word if the verb or a parameter is unknown.
+  // Throws a Failure that names the line and the word if the verb or a parameter is unknown.
   void check(const Line& line) const {
-    const Verb<Context>& verb = find(line);
+    const Verb<Context>& verb = find_verb(line);
     for (const auto& [name, value] : line.parameters)
-      if (!knows(verb, name)) fail(line, kind_ + " " + verb.name + " knows no '" + name + "='");
+      if (!has_parameter(verb, name)) fail(line, category_ + " " + verb.name + " has no parameter '" + name + "='");
   }
 
-  void run(Context& context, const Line& line) const { find(line).run(context, line); }
+  // Calls the handler of the line's verb. Throws a Failure if the verb is unknown.
+  void run(Context& context, const Line& line) const { find_verb(line).handler(context, line); }
 
  private:
-  const Verb<Context>& find(const Line& line) const {
+  const Verb<Context>& find_verb(const Line& line) const {
     const std::string& name = line.word(0);
     const auto it = std::find_if(verbs_.begin(), verbs_.end(),
                                  [&](const Verb<Context>& verb) { return name == verb.name; });
-    if (it == verbs_.end()) fail(line, "unknown " + kind_ + " '" + name + "'");
+    if (it == verbs_.end()) fail(line, "unknown " + category_ + " '" + name + "'");
     return *it;
   }
 
-  static bool knows(const Verb<Context>& verb, const std::string& parameter) {
+  static bool has_parameter(const Verb<Context>& verb, const std::string& parameter) {
     return std::any_of(
-        verb.parameters.begin(), verb.parameters.end(), [&](const std::string& known) {
-          return known.back() == '.' ? parameter.rfind(known, 0) == 0 : parameter == known;
+        verb.parameters.begin(), verb.parameters.end(), [&](const std::string& declared) {
+          return declared.back() == '.' ? parameter.rfind(declared, 0) == 0 : parameter == declared;
         });
   }
 
-  std::string kind_;
+  std::string category_;
   std::vector<Verb<Context>> verbs_;
 };
 
--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -53,7 +53,7 @@
     if (is_open(job) && !job.workload.is_service()) fail_not_over(world, line, job);
 }
 
-const char* name_of(Outcome outcome) {
+const char* outcome_name(Outcome outcome) {
   switch (outcome) {
     case Outcome::kDone:
       return "done";
@@ -67,7 +67,7 @@
 
 void expect_outcome(const World& world, const Line& line, Outcome expected) {
   const Outcome got = job_at(world, line, 1).outcome;
-  if (got != expected) fail(line, line.word(1) + " was told '" + name_of(got) + "'");
+  if (got != expected) fail(line, line.word(1) + " was told '" + outcome_name(got) + "'");
 }
 
 void done(const World& world, const Line& line) { expect_outcome(world, line, Outcome::kDone); }
--- a/tests/runner/world_expectations.h
+++ b/tests/runner/world_expectations.h
@@ -1,4 +1,5 @@
-// What a scenario can expect of a world: `expect WHAT …`.
+// The expectations of scenarios of kind `world`: `expect NAME …` checks the state of the simulated
+// deployment.
 #pragma once
 
 #include "runner/line.h"
@@ -6,9 +7,10 @@
 
 namespace runner {
 
-// Throws a Failure if the line, which begins with WHAT, cannot be checked as written.
+// Checks a line that begins with the expectation's name. Throws a Failure if the expectation or a
+// parameter is unknown.
 void check_expectation(const Line& line);
-// Throws a Failure if the world is not as expected.
+// Throws a Failure if the deployment does not meet the expectation.
 void run_expectation(const standins::World& world, const Line& line);
 
 }  // namespace runner
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -39,8 +39,8 @@
 
 // ---- statements ----------------------------------------------------------------------------
 
-size_t get_size(const Line& line, const std::string& name, size_t otherwise) {
-  return static_cast<size_t>(line.get(name, static_cast<double>(otherwise)));
+size_t get_size(const Line& line, const std::string& name, size_t default_value) {
+  return static_cast<size_t>(line.get(name, static_cast<double>(default_value)));
 }
 
 void read_store_limits(const Line& line, WorldOptions& options) {
@@ -163,7 +163,7 @@
 
 }  // namespace
 
-uint64_t play_world(const std::vector<Line>& lines, uint64_t seed, bool verbose) {
+uint64_t run_world(const std::vector<Line>& lines, uint64_t seed, bool verbose) {
   for (const auto& line : lines) check_statement(line);
   WorldOptions options;
   options.seed = seed;
