--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -19,27 +19,29 @@
 
 constexpr uint64_t kSeed = 7;
 constexpr int kDefaultRounds = 2000;
-constexpr uint32_t kMaxTasks = 100000;  // of a job, by the protocol
+constexpr uint32_t kMaxTasks = 100000;  // in one job, the limit of the user API
 constexpr size_t kMaxHttpHeaderBytes = 128, kMaxHttpBodyBytes = 32;
 
-// ---- codecs: whether they take the text. They fail the line if they take what they must not. ---
+// ---- Each function returns whether the codec accepts the text, and fails the line if the codec
+// accepts what it must reject. ----
 
 bool accepts_heartbeat(const Line&, const std::string& text) {
   return rooksill::wire::parse_heartbeat(text).has_value();
 }
 
-// A job that is taken has to decode to the same record again.
+// An accepted job has to survive a round trip through the store encoding.
 bool accepts_job(const Line& line, const std::string& text) {
   const auto spec = rooksill::wire::parse_job(text);
   if (!spec) {
-    if (spec.error().message().empty()) fail(line, "refused without a reason");
+    if (spec.error().message().empty()) fail(line, "the job is rejected without a reason");
     return false;
   }
   const auto encoded = rooksill::wire::encode_spec(*spec);
   const auto decoded_again = rooksill::wire::decode_spec(encoded);
   if (!decoded_again || rooksill::wire::encode_spec(*decoded_again) != encoded)
-    fail(line, "does not come back: " + text);
-  if (spec->tasks < 1 || spec->tasks > kMaxTasks) fail(line, "impossible count");
+    fail(line, "the job changes when it is decoded from the store: " + text);
+  if (spec->tasks < 1 || spec->tasks > kMaxTasks)
+    fail(line, "accepted a job with an invalid number of tasks");
   return true;
 }
 
@@ -56,7 +58,8 @@
   HttpParser parser(HttpParser::Kind::kRequest, kMaxHttpHeaderBytes, kMaxHttpBodyBytes);
   size_t used = 0;
   if (parser.feed(text, used) != HttpParser::State::kDone) return false;
-  if (parser.take().body.size() > kMaxHttpBodyBytes) fail(line, "body over its bound");
+  if (parser.take().body.size() > kMaxHttpBodyBytes)
+    fail(line, "accepted a body over the size limit");
   return true;
 }
 
@@ -70,9 +73,10 @@
   return rooksill::wire::pack(update);
 }
 
+// A codec under test.
 struct Codec {
   std::string name;
-  std::string valid_message;  // a whole message, which is taken
+  std::string valid_message;  // complete and accepted; the mutations start from it
   bool (*accepts)(const Line&, const std::string& text);
 };
 
@@ -90,7 +94,8 @@
       {"catalog",
        R"({"builds":[{"label":"g8","cores":96,"gpus":8,"memory_gb":768,"local_gb":200,"pull_gb_per_s":1.0,"hourly":12.0,"market_price":4.5,"ready_s":45,"wards":["a","b"]}]})",
        accepts_catalog},
-      {"http", "POST /api/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello", accepts_http},
+      {"http", "POST /api/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello",
+       accepts_http},
       {"peer", make_peer_message(), accepts_peer_message},
   };
   return kCodecs;
@@ -103,14 +108,16 @@
   return *it;
 }
 
+// Overwrites one to four random bytes and truncates every third text at a random position.
 void mutate(std::string& text, std::mt19937_64& rng) {
   for (uint64_t i = 0; i < 1 + rng() % 4; ++i) text[rng() % text.size()] = static_cast<char>(rng());
   if (rng() % 3 == 0) text.resize(rng() % text.size());
 }
 
+// Checks that the codec accepts the valid message, then feeds it a mutated copy in each round.
 void run_rounds(const Line& line, std::mt19937_64& rng) {
   const Codec& codec = find_codec(line);
-  if (!codec.accepts(line, codec.valid_message)) fail(line, "the whole message is not taken");
+  if (!codec.accepts(line, codec.valid_message)) fail(line, "the valid message is rejected");
   const int rounds = line.get_integer("rounds", kDefaultRounds);
   for (int i = 1; i < rounds; ++i) {
     std::string text = codec.valid_message;
@@ -121,7 +128,8 @@
 
 }  // namespace
 
-// From a fixed seed: nothing may crash.
+// Guards against crashes on malformed input. The seed is fixed, so that every run feeds the same
+// texts.
 void run_fuzz(const std::vector<Line>& lines) {
   std::mt19937_64 rng(kSeed);
   for (const auto& line : lines)
--- a/tests/runner/http.cc
+++ b/tests/runner/http.cc
@@ -1,4 +1,4 @@
-// Scenarios of kind `http`: HTTP messages, whole and cut.
+// Scenarios of kind `http`: HTTP messages, fed to the parser whole and in fragments.
 #include <string>
 #include <string_view>
 
@@ -11,9 +11,9 @@
 
 using rooksill::net::HttpParser;
 
-constexpr size_t kMaxHeaderBytes = 256, kMaxBodyBytes = 64;  // bytes
+constexpr size_t kMaxHeaderBytes = 256, kMaxBodyBytes = 64;
 
-// Scenario words hold no white space: "\r", "\n" and "\s" stand for it.
+// Replaces the escapes "\r", "\n" and "\s" (space): words of a scenario cannot contain white space.
 std::string unescape(const std::string& text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
@@ -27,7 +27,8 @@
   return out;
 }
 
-// `ok`, `more`, or the status by which the parser refuses the message.
+// Returns `ok` for a complete message, `more` for an incomplete one, or the HTTP status with which
+// the parser rejects it.
 std::string parse_in_pieces(const std::string& text, size_t piece_size, HttpParser::Kind kind) {
   HttpParser parser(kind, kMaxHeaderBytes, kMaxBodyBytes);
   for (size_t at = 0; at < text.size(); at += piece_size) {
@@ -39,6 +40,7 @@
   return "more";
 }
 
+// Line: request|response RESULT TEXT…. The result has to be the same for each fragment size.
 void run_message(const Line& line) {
   const auto kind =
       line.word(0) == "request" ? HttpParser::Kind::kRequest : HttpParser::Kind::kResponse;
@@ -48,7 +50,7 @@
   for (const size_t piece_size : {text.size(), size_t{1}, size_t{3}}) {
     const std::string got = parse_in_pieces(text, piece_size, kind);
     if (got != line.word(1))
-      fail(line, "got " + got + " in pieces of " + std::to_string(piece_size));
+      fail(line, "got " + got + " in fragments of " + std::to_string(piece_size) + " bytes");
   }
 }
 
--- a/tests/runner/kinds.h
+++ b/tests/runner/kinds.h
@@ -1,5 +1,5 @@
-// Entry points of the scenario kinds, one for each value of a file's `kind` line. Each runs all lines
-// of a scenario and throws a Failure, or another exception, if the scenario fails.
+// Entry points of the scenario kinds, one for each value of a file's `kind` line. Each runs all
+// lines of a scenario and throws a Failure, or another exception, if the scenario fails.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,10 @@
 
 namespace runner {
 
-// Runs the real controller code in simulated time against simulated users, machines, store and cloud.
-// Returns a digest of all effects that the controllers requested (standins/effects_digest.h), by
-// which two runs can be compared. `verbose` turns on the controllers' log.
+// Runs the real controller code in simulated time against simulated users, machines, store and
+// cloud. Returns a digest of all effects that the controllers requested
+// (standins/effects_digest.h), by which two runs can be compared. `verbose` turns on the
+// controllers' log.
 uint64_t run_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
 // Compares the results of the fleet-sizing rule and of the demand estimates with values that were
 // computed independently of the code.
--- a/tests/runner/line.cc
+++ b/tests/runner/line.cc
@@ -38,7 +38,8 @@
 
 const std::string& Line::word(size_t i) const {
   if (i >= words.size())
-    fail(*this, (words.empty() ? "the line" : "'" + words.back() + "'") + " requires another word after it");
+    fail(*this, (words.empty() ? "the line" : "'" + words.back() + "'") +
+                    " requires another word after it");
   return words[i];
 }
 
--- a/tests/runner/line.h
+++ b/tests/runner/line.h
@@ -17,7 +17,7 @@
 // One line of a scenario file. Methods that convert a value, and those that require a word, throw a
 // Failure that names the line and the word at fault.
 struct Line {
-  int number = 0;  // in the file, from 1
+  int number = 0;                  // in the file, from 1
   std::vector<std::string> words;  // in order, without the parameters
   std::map<std::string, std::string> parameters;
 
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -1,3 +1,4 @@
+// Scenarios of kind `recorded`: store values and peer messages that the first version wrote.
 #include "rooksill/model/coordination.h"
 #include "rooksill/model/job.h"
 #include "rooksill/model/machine.h"
@@ -17,13 +18,14 @@
   return out;
 }
 
-// Reads a payload as its type and writes it again.
+// Decodes and encodes a payload. Returns an empty string if it cannot be decoded.
 template <typename Message>
 std::string repack(const std::string& bytes) {
   const auto message = rooksill::wire::unpack<Message>(bytes);
   return message ? rooksill::wire::pack(*message) : "";
 }
 
+// Does the same for a message between controllers and the payload inside it.
 std::string repack_envelope(const std::string& bytes) {
   auto unpacked = rooksill::wire::unpack<rooksill::wire::Envelope>(bytes);
   if (!unpacked) return "";
@@ -51,13 +53,14 @@
   return rooksill::wire::pack(envelope);
 }
 
-// What was decoded, encoded again; null if it was not taken.
+// Encodes the decoded record; returns null if decoding failed.
 template <typename Record>
 nlohmann::json reencode(const rooksill::wire::Decoded<Record>& record,
-                             nlohmann::json (*encode)(const Record&)) {
+                        nlohmann::json (*encode)(const Record&)) {
   return record ? encode(*record) : nlohmann::json();
 }
 
+// Decodes and encodes a store value by the kind of its key. Returns null if either is invalid.
 nlohmann::json reencode_value(const std::string& key, const nlohmann::json& value) {
   namespace wire = rooksill::wire;
   const auto parsed = wire::parse_store_key(key);
@@ -77,7 +80,7 @@
       return reencode(wire::decode_version(value), wire::encode_version);
     case wire::KeyKind::kQuota:
       return reencode(wire::decode_quota_division(value, value.at("c").size()),
-                           wire::encode_quota_division);
+                      wire::encode_quota_division);
     case wire::KeyKind::kMachineType:
       return reencode(wire::decode_type(value), wire::encode_type);
     case wire::KeyKind::kLeader:
@@ -92,21 +95,22 @@
 
 }  // namespace
 
-// What the version before wrote and sent is read, and written back the same; and the description of
-// that version in the stand-ins knows all of it.
+// Guards compatibility during an upgrade: the present version has to decode what the first version
+// wrote and sent, and encode it to the same bytes or JSON. Also checks that the description of the
+// first version in standins/first_version.h covers all of it.
 void run_recorded(const std::vector<Line>& lines) {
   for (const auto& line : lines) {
     if (line.word(0) == "kind") continue;
     if (line.word(0) == "message") {
       const std::string bytes = decode_hex(line.word(2));
-      if (repack_envelope(bytes) != bytes) fail(line, "does not come back");
+      if (repack_envelope(bytes) != bytes) fail(line, "the message changes when it is re-encoded");
       if (auto unknown = standins::unknown_to_first_version(bytes); !unknown.empty())
         fail(line, unknown);
       continue;
     }
     const std::string& key = line.words[1];
     const auto value = nlohmann::json::parse(line.word(2));
-    if (reencode_value(key, value) != value) fail(line, "does not come back");
+    if (reencode_value(key, value) != value) fail(line, "the value changes when it is re-encoded");
     if (auto unknown = standins::unknown_to_first_version(key, value); !unknown.empty())
       fail(line, unknown);
   }
--- a/tests/runner/replica.cc
+++ b/tests/runner/replica.cc
@@ -1,4 +1,4 @@
-// Scenarios of kind `replica`: a controller's copy of the store's lists of machines.
+// Scenarios of kind `replica`: a controller's replica of the machine lists in the store.
 #include "rooksill/store/replica.h"
 
 #include <nlohmann/json.hpp>
@@ -17,7 +17,8 @@
 using rooksill::model::Revision;
 using rooksill::store::Replica;
 
-// page PARTITION PAGE REVISION MACHINE…
+// page PARTITION PAGE REVISION MACHINE… [taken=0]: applies a page with these machines. The replica
+// has to accept it, or with taken=0 to ignore it.
 void apply_page(Replica& replica, const Line& line) {
   std::map<std::string, Machine> machines;
   for (size_t i = 4; i < line.words.size(); ++i) {
@@ -30,19 +31,20 @@
   const auto key = rooksill::wire::machines_key(line.integer_at(1), line.integer_at(2));
   const Revision revision{static_cast<uint64_t>(line.integer_at(3))};
   const bool applied = replica.apply(key, rooksill::wire::encode_machines(machines), revision);
-  if (applied != (line.get("taken", 1) != 0)) fail(line, applied ? "taken" : "not taken");
+  if (applied != (line.get("taken", 1) != 0))
+    fail(line, applied ? "the page is applied" : "the page is not applied");
 }
 
-// on MACHINE PAGE
+// on MACHINE PAGE: the replica has to list the machine on this page.
 void expect_on_page(Replica& replica, const Line& line) {
   const Machine* machine = replica.machine(line.word(1));
-  if (machine == nullptr) fail(line, "gone");
+  if (machine == nullptr) fail(line, "the machine is not in the replica");
   expect_near(line, machine->page, line.number_at(2), 0);
 }
 
-// gone MACHINE
+// gone MACHINE: the replica must not list the machine.
 void expect_unknown(Replica& replica, const Line& line) {
-  if (replica.machine(line.word(1)) != nullptr) fail(line, "known");
+  if (replica.machine(line.word(1)) != nullptr) fail(line, "the machine is still in the replica");
 }
 
 const VerbTable<Replica>& verbs() {
@@ -57,8 +59,8 @@
 
 }  // namespace
 
-// Pages of machines are applied one by one, as a transaction's changes arrive; in between and
-// after, a machine is known or gone.
+// Pages are applied one by one, as the changes of a transaction arrive. A scenario checks between
+// and after them which machines the replica lists.
 void run_replica(const std::vector<Line>& lines) {
   for (const auto& line : lines) verbs().check(line);
   Replica replica{rooksill::PlatformSettings{}};
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -1,5 +1,5 @@
-// Scenarios of kind `sizing`: figures of the fleet-sizing rule against values worked out apart from
-// the code.
+// Scenarios of kind `sizing`: compares the results of the fleet-sizing rule and the demand
+// estimates with values that were computed independently of the code.
 #include "rooksill/policy/sizing.h"
 
 #include "rooksill/policy/demand.h"
@@ -14,25 +14,26 @@
 
 constexpr double kTolerance = 1e-6;
 
+// Compares the result with the parameter `is`, within the tolerance `within`.
 void expect_figure(const Line& line, double got) {
   expect_near(line, got, line.get("is", 0), line.get("within", kTolerance));
 }
 
 void check_expected_busy(policy::Demand&, const Line& line) {
   expect_figure(line, policy::expected_busy(line.get("t", 1), line.get("y", 0), line.get("mu", 1),
-                                          line.get("lambda", 1)));
+                                            line.get("lambda", 1)));
 }
 
 void check_chance_full(policy::Demand&, const Line& line) {
   expect_figure(line, policy::chance_full(line.get("s", 1), line.get_integer("y", 0),
-                                        line.get_integer("rented", 1), line.get("mu", 1),
-                                        line.get("lambda", 1)));
+                                          line.get_integer("rented", 1), line.get("mu", 1),
+                                          line.get("lambda", 1)));
 }
 
 void check_expected_unplanned(policy::Demand&, const Line& line) {
   expect_figure(line, policy::expected_unplanned(line.get("t", 1), line.get_integer("y", 0),
-                                               line.get_integer("rented", 1), line.get("mu", 1),
-                                               line.get("lambda", 1)));
+                                                 line.get_integer("rented", 1), line.get("mu", 1),
+                                                 line.get("lambda", 1)));
 }
 
 policy::SizingInput read_sizing_input(const Line& line) {
@@ -49,6 +50,7 @@
   return input;
 }
 
+// Checks the number of machines, u, that the rule chooses, and its cost.
 void check_fleet_size(policy::Demand&, const Line& line) {
   const auto result = policy::size_fleet(read_sizing_input(line));
   if (line.has("u")) expect_near(line, result.u, line.get("u", 0), 0);
@@ -60,6 +62,7 @@
     expect_near(line, result.cost, line.get("cost", 0), line.get("within", kTolerance));
 }
 
+// Feeds the demand estimator one period's arrivals, completions and busy machines.
 void record_period(policy::Demand& demand, const Line& line) {
   demand.record_arrival(line.get("arrived", 0));
   demand.record_completion(line.get("finished", 0));
@@ -67,6 +70,7 @@
   demand.end_period(1, line.get("cap", 3));
 }
 
+// Checks the estimated arrival rate (lambda) and completion rate (mu).
 void check_demand_estimates(policy::Demand& demand, const Line& line) {
   const double tolerance = line.get("within", kTolerance);
   if (line.has("lambda")) expect_near(line, demand.lambda(), line.get("lambda", 0), tolerance);
@@ -75,18 +79,21 @@
 
 const VerbTable<policy::Demand>& verbs() {
   static const VerbTable<policy::Demand> kVerbs(
-      "figure", {
-                    {"kind", {}, [](policy::Demand&, const Line&) {}},
-                    {"busy", {"t", "y", "mu", "lambda", "is", "within"}, check_expected_busy},
-                    {"full", {"s", "y", "rented", "mu", "lambda", "is", "within"}, check_chance_full},
-                    {"unplanned", {"t", "y", "rented", "mu", "lambda", "is", "within"}, check_expected_unplanned},
-                    {"size",
-                     {"x", "y", "lambda", "mu", "ceiling", "periods", "c1", "c2", "h", "u",
-                      "at_least", "at_most", "cost", "within"},
-                     check_fleet_size},
-                    {"period", {"arrived", "finished", "busy", "cap"}, record_period},
-                    {"demand", {"lambda", "mu", "within"}, check_demand_estimates},
-                });
+      "figure",
+      {
+          {"kind", {}, [](policy::Demand&, const Line&) {}},
+          {"busy", {"t", "y", "mu", "lambda", "is", "within"}, check_expected_busy},
+          {"full", {"s", "y", "rented", "mu", "lambda", "is", "within"}, check_chance_full},
+          {"unplanned",
+           {"t", "y", "rented", "mu", "lambda", "is", "within"},
+           check_expected_unplanned},
+          {"size",
+           {"x", "y", "lambda", "mu", "ceiling", "periods", "c1", "c2", "h", "u", "at_least",
+            "at_most", "cost", "within"},
+           check_fleet_size},
+          {"period", {"arrived", "finished", "busy", "cap"}, record_period},
+          {"demand", {"lambda", "mu", "within"}, check_demand_estimates},
+      });
   return kVerbs;
 }
 
--- a/tests/runner/verb_table.h
+++ b/tests/runner/verb_table.h
@@ -31,7 +31,8 @@
   void check(const Line& line) const {
     const Verb<Context>& verb = find_verb(line);
     for (const auto& [name, value] : line.parameters)
-      if (!has_parameter(verb, name)) fail(line, category_ + " " + verb.name + " has no parameter '" + name + "='");
+      if (!has_parameter(verb, name))
+        fail(line, category_ + " " + verb.name + " has no parameter '" + name + "='");
   }
 
   // Calls the handler of the line's verb. Throws a Failure if the verb is unknown.
--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -17,19 +17,21 @@
 
 namespace {
 
-// ---- parameters that several actions have --------------------------------------------------
+// ---- parameters that several actions share --------------------------------------------------
 
+// Seconds.
 double duration(const Line& line) { return line.get("for", 5); }
 
 int count(const Line& line) { return line.get_integer("count", 1); }
 
+// A probability, from 0 to 1.
 double chance(const Line& line) { return line.get("chance", 0.3); }
 
 CutMode cut_mode(const Line& line) {
   const std::string mode = line.text("mode", "hold");
   if (mode == "hold") return CutMode::kHold;
   if (mode == "drop") return CutMode::kDrop;
-  fail(line, "unknown mode '" + mode + "'");
+  fail(line, "unknown cut mode '" + mode + "'");
 }
 
 Link cut_link(const Line& line) {
@@ -42,7 +44,8 @@
   fail(line, "unknown link '" + link + "'");
 }
 
-// A controller's number, `leader`, or `other`: the one after the leader.
+// Returns the index of the controller that the word names: a number, `leader`, or `other`, which is
+// the one after the leader.
 size_t controller_at(const World& world, const Line& line, size_t word) {
   const size_t leader = world.cluster().leader().value_or(0);
   const std::string& name = line.word(word);
@@ -50,17 +53,19 @@
   if (name == "other") return (leader + 1) % world.controllers();
   const int number = line.integer_at(word);
   if (number < 0 || static_cast<size_t>(number) >= world.controllers())
-    fail(line, "no controller '" + name + "'");
+    fail(line, "controller '" + name + "' does not exist");
   return static_cast<size_t>(number);
 }
 
-// One controller after the other, `every=` seconds apart.
+// Schedules the action for each controller in turn, `every=` seconds apart.
 void for_each_controller(World& world, const Line& line,
                          const std::function<void(size_t controller)>& action) {
   for (size_t i = 0; i < world.controllers(); ++i)
     world.events().after(static_cast<double>(i) * line.get("every", 5), [action, i] { action(i); });
 }
 
+// Each function below runs the action of the same name.
+
 // ---- users ---------------------------------------------------------------------------------
 
 void submit(World& world, const Line& line) {
@@ -87,7 +92,7 @@
 
 // ---- controllers ---------------------------------------------------------------------------
 
-// One, `all`, or `others`: all but the leader.
+// Crashes one controller, `all`, or `others`, which are all but the leader.
 void crash(World& world, const Line& line) {
   const size_t size = world.controllers();
   if (line.word(1) == "all") {
@@ -199,7 +204,8 @@
 
 void break_machines(World& world, const Line& line) { world.faults().break_machines(count(line)); }
 
-// ---- table ---------------------------------------------------------------------------------
+// ---- table of actions
+// ---------------------------------------------------------------------------------
 
 void expect(World& world, const Line& line) { run_expectation(world, line.without_words(1)); }
 
--- a/tests/runner/world_actions.h
+++ b/tests/runner/world_actions.h
@@ -7,8 +7,8 @@
 
 namespace runner {
 
-// Checks a line that begins with the action's name. Throws a Failure if the action or a parameter is
-// unknown.
+// Checks a line that begins with the action's name. Throws a Failure if the action or a parameter
+// is unknown.
 void check_action(const Line& line);
 // Runs the action now, in simulated time. Throws a Failure if an argument is invalid.
 void run_action(standins::World& world, const Line& line);
--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -18,12 +18,14 @@
 
 namespace {
 
+// Returns the submitted job whose number is the word at this position.
 const UserJob& job_at(const World& world, const Line& line, size_t word) {
   auto it = world.jobs().find(job_id(line.integer_at(word)));
-  if (it == world.jobs().end()) fail(line, "no job '" + line.word(word) + "' was submitted");
+  if (it == world.jobs().end()) fail(line, "job '" + line.word(word) + "' was not submitted");
   return it->second;
 }
 
+// Fail the line if the value is beyond the limit that the word at this position gives.
 void expect_at_most(const Line& line, size_t word, uint64_t got) {
   if (got > static_cast<uint64_t>(line.number_at(word))) fail(line, "got " + std::to_string(got));
 }
@@ -32,10 +34,13 @@
   if (got < static_cast<uint64_t>(line.number_at(word))) fail(line, "got " + std::to_string(got));
 }
 
+// Each function below that takes a world and a line checks the expectation of the same name, unless
+// another function calls it.
+
 // ---- jobs ----------------------------------------------------------------------------------
 
 [[noreturn]] void fail_not_over(const World& world, const Line& line, const UserJob& job) {
-  fail(line, job.id() + " is not over: accepted " + std::to_string(job.accepted()) + ", " +
+  fail(line, job.id() + " has not ended: accepted " + std::to_string(job.accepted()) + ", " +
                  std::to_string(world.ledger().running_tasks(job.id())) + " running");
 }
 
@@ -62,12 +67,13 @@
     case Outcome::kNone:
       break;
   }
-  return "nothing final";
+  return "none";
 }
 
 void expect_outcome(const World& world, const Line& line, Outcome expected) {
   const Outcome got = job_at(world, line, 1).outcome;
-  if (got != expected) fail(line, line.word(1) + " was told '" + outcome_name(got) + "'");
+  if (got != expected)
+    fail(line, "job " + line.word(1) + " was reported with outcome '" + outcome_name(got) + "'");
 }
 
 void done(const World& world, const Line& line) { expect_outcome(world, line, Outcome::kDone); }
@@ -86,7 +92,8 @@
   if (got != line.integer_at(2)) fail(line, std::to_string(got) + " running");
 }
 
-// Each replica of every service that nobody asked to cancel runs.
+// All replicas of every accepted service are running, except for services that a user asked to
+// cancel.
 void services_fully_running(const World& world, const Line& line) {
   for (const auto& [id, job] : world.jobs()) {
     if (!job.workload.is_service() || !job.accepted() || job.cancel_requested) continue;
@@ -137,14 +144,16 @@
 }
 
 void has_leader(const World& world, const Line& line) {
-  if (!world.cluster().leader()) fail(line, "no controller leads");
+  if (!world.cluster().leader()) fail(line, "there is no leader");
 }
 
 void upgraded(const World& world, const Line& line) {
   const bool got = world.store().has_upgrade_record();
-  if (got != (line.number_at(1) != 0)) fail(line, got ? "it is written" : "it is not written");
+  if (got != (line.number_at(1) != 0))
+    fail(line, got ? "the upgrade record is written" : "the upgrade record is not written");
 }
 
+// Returns the lease records in the store, of all partitions that have one.
 std::vector<nlohmann::json> partition_leases(const World& world) {
   std::vector<nlohmann::json> leases;
   for (int partition = 0; partition < static_cast<int>(world.controllers()); ++partition)
@@ -153,7 +162,7 @@
   return leases;
 }
 
-// No controller owns two partitions more than another.
+// The numbers of partitions that any two controllers own differ by one at most.
 void partitions_balanced(const World& world, const Line& line) {
   std::map<std::string, int> owned;
   for (const auto& label : world.cluster().labels()) owned[label] = 0;
@@ -163,7 +172,8 @@
   if (most->second > least->second + 1) fail(line, most->first + " owns too many partitions");
 }
 
-// Tokens rise with each lease of a partition.
+// The highest fencing token limits how often any partition changed its owner: the token of a
+// partition rises with each of its leases.
 void fencing_token_at_most(const World& world, const Line& line) {
   uint64_t highest = 0;
   for (const auto& lease : partition_leases(world))
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -1,5 +1,5 @@
-// Scenarios of kind `world`: a simulated deployment, what happens to it, and what is expected of
-// it. docs/testing.md lists the statements.
+// Scenarios of kind `world`: a simulated deployment, the actions and faults in it, and the expected
+// results. docs/testing.md lists the statements.
 #include <memory>
 #include <string>
 
@@ -18,15 +18,18 @@
 
 namespace {
 
-// The world is made from the options when it is first needed, so that `world` has to come first.
+// Creates the simulated world from the options when a statement first needs it. The options are
+// final from then on, which is why the statement `world` has to come first.
 class Deployment {
  public:
   explicit Deployment(const WorldOptions& initial) : options_(initial) {}
 
+  // Returns the options to change. Fails the line if the world exists already.
   WorldOptions& options(const Line& line) {
     if (world_) fail(line, "'world' has to come before all other statements");
     return options_;
   }
+  // Returns the world; creates it on the first call.
   World& world() {
     if (!world_) world_ = std::make_unique<World>(options_);
     return *world_;
@@ -37,12 +40,15 @@
   std::unique_ptr<World> world_;
 };
 
-// ---- statements ----------------------------------------------------------------------------
+// ---- statements: each function runs the statement of the same name
+// ----------------------------------------------------------------------------
 
 size_t get_size(const Line& line, const std::string& name, size_t default_value) {
   return static_cast<size_t>(line.get(name, static_cast<double>(default_value)));
 }
 
+// Reads the store's present limits, and the announced ones, which default to the present limits.
+// No limits are announced if the line has none of their parameters.
 void read_store_limits(const Line& line, WorldOptions& options) {
   StoreLimits& present = options.store_limits;
   present.writes_per_s = line.get("store_write_rps", present.writes_per_s);
@@ -115,7 +121,7 @@
   run_expectation(deployment.world(), line.without_words(1));
 }
 
-void kind(Deployment&, const Line&) {}  // read by main()
+void kind(Deployment&, const Line&) {}  // handled in main.cc
 
 const VerbTable<Deployment>& statements() {
   static const VerbTable<Deployment> kStatements(
@@ -137,7 +143,7 @@
   return kStatements;
 }
 
-// Statements whose parameters are those of an action or an expectation.
+// These statements are not in the table: their parameters are those of an action or an expectation.
 bool is_action(const Line& line) { return line.word(0) == "at"; }
 bool is_expectation(const Line& line) { return line.word(0) == "expect"; }
 
