--- a/tests/runner/fuzz.cc
+++ b/tests/runner/fuzz.cc
@@ -22,8 +22,8 @@
 constexpr uint32_t kMaxTasks = 100000;  // in one job, the limit of the user API
 constexpr size_t kMaxHttpHeaderBytes = 128, kMaxHttpBodyBytes = 32;
 
-// ---- Each function returns whether the codec accepts the text, and fails the line if the codec
-// accepts what it must reject. ----
+// The functions accepts_… return whether the codec accepts the text. They fail the line if the
+// codec accepts what it has to reject.
 
 bool accepts_heartbeat(const Line&, const std::string& text) {
   return rooksill::wire::parse_heartbeat(text).has_value();
@@ -108,13 +108,14 @@
   return *it;
 }
 
-// Overwrites one to four random bytes and truncates every third text at a random position.
+// Overwrites one to four random bytes, and truncates about one text in three at a random position.
 void mutate(std::string& text, std::mt19937_64& rng) {
   for (uint64_t i = 0; i < 1 + rng() % 4; ++i) text[rng() % text.size()] = static_cast<char>(rng());
   if (rng() % 3 == 0) text.resize(rng() % text.size());
 }
 
-// Checks that the codec accepts the valid message, then feeds it a mutated copy in each round.
+// Checks that the codec accepts the valid message, then feeds it a mutated copy in each further
+// round.
 void run_rounds(const Line& line, std::mt19937_64& rng) {
   const Codec& codec = find_codec(line);
   if (!codec.accepts(line, codec.valid_message)) fail(line, "the valid message is rejected");
--- a/tests/runner/kinds.h
+++ b/tests/runner/kinds.h
@@ -10,9 +10,9 @@
 namespace runner {
 
 // Runs the real controller code in simulated time against simulated users, machines, store and
-// cloud. Returns a digest of all effects that the controllers requested
-// (standins/effects_digest.h), by which two runs can be compared. `verbose` turns on the
-// controllers' log.
+// cloud. Returns a digest of everything that the controllers did
+// (standins/effects_digest.h), except log lines, by which two runs can be compared. `verbose`
+// prints the controllers' logs.
 uint64_t run_world(const std::vector<Line>& lines, uint64_t seed, bool verbose);
 // Compares the results of the fleet-sizing rule and of the demand estimates with values that were
 // computed independently of the code.
--- a/tests/runner/main.cc
+++ b/tests/runner/main.cc
@@ -14,8 +14,8 @@
 struct Arguments {
   std::string path;
   std::vector<uint64_t> seeds;  // if empty, the seeds of the `kind` line apply
-  bool verbose = false;
-  bool print_effects = false;
+  bool verbose = false;         // print the controllers' logs
+  bool print_effects = false;   // print the digest of each seed's run
 };
 
 Arguments parse_arguments(int argc, char** argv) {
--- a/tests/runner/recorded.cc
+++ b/tests/runner/recorded.cc
@@ -60,7 +60,8 @@
   return record ? encode(*record) : nlohmann::json();
 }
 
-// Decodes and encodes a store value by the kind of its key. Returns null if either is invalid.
+// Decodes and encodes a store value by the kind of its key. Returns null if the key is unknown or
+// the value cannot be decoded.
 nlohmann::json reencode_value(const std::string& key, const nlohmann::json& value) {
   namespace wire = rooksill::wire;
   const auto parsed = wire::parse_store_key(key);
--- a/tests/runner/replica.cc
+++ b/tests/runner/replica.cc
@@ -59,8 +59,8 @@
 
 }  // namespace
 
-// Pages are applied one by one, as the changes of a transaction arrive. A scenario checks between
-// and after them which machines the replica lists.
+// Applies pages one by one, as the changes of a transaction arrive, and checks between and after
+// them which machines the replica lists.
 void run_replica(const std::vector<Line>& lines) {
   for (const auto& line : lines) verbs().check(line);
   Replica replica{rooksill::PlatformSettings{}};
--- a/tests/runner/sizing.cc
+++ b/tests/runner/sizing.cc
@@ -12,7 +12,7 @@
 
 namespace policy = rooksill::policy;
 
-constexpr double kTolerance = 1e-6;
+constexpr double kTolerance = 1e-6;  // absolute; `within=` overrides it
 
 // Compares the result with the parameter `is`, within the tolerance `within`.
 void expect_figure(const Line& line, double got) {
@@ -50,7 +50,7 @@
   return input;
 }
 
-// Checks the number of machines, u, that the rule chooses, and its cost.
+// Checks u, the number of machines that the rule rents (releases, if negative), and the cost.
 void check_fleet_size(policy::Demand&, const Line& line) {
   const auto result = policy::size_fleet(read_sizing_input(line));
   if (line.has("u")) expect_near(line, result.u, line.get("u", 0), 0);
--- a/tests/runner/world_actions.cc
+++ b/tests/runner/world_actions.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-// ---- parameters that several actions share --------------------------------------------------
+// ---- parameters that several actions share -------------------------------------------------
 
 // Seconds.
 double duration(const Line& line) { return line.get("for", 5); }
@@ -64,7 +64,7 @@
     world.events().after(static_cast<double>(i) * line.get("every", 5), [action, i] { action(i); });
 }
 
-// Each function below runs the action of the same name.
+// Each function in the table at the end of this file runs the action of the same name.
 
 // ---- users ---------------------------------------------------------------------------------
 
@@ -204,8 +204,7 @@
 
 void break_machines(World& world, const Line& line) { world.faults().break_machines(count(line)); }
 
-// ---- table of actions
-// ---------------------------------------------------------------------------------
+// ---- table of actions ----------------------------------------------------------------------
 
 void expect(World& world, const Line& line) { run_expectation(world, line.without_words(1)); }
 
--- a/tests/runner/world_expectations.cc
+++ b/tests/runner/world_expectations.cc
@@ -34,8 +34,7 @@
   if (got < static_cast<uint64_t>(line.number_at(word))) fail(line, "got " + std::to_string(got));
 }
 
-// Each function below that takes a world and a line checks the expectation of the same name, unless
-// another function calls it.
+// Each function in the table at the end of this file checks the expectation of the same name.
 
 // ---- jobs ----------------------------------------------------------------------------------
 
@@ -44,6 +43,7 @@
                  std::to_string(world.ledger().running_tasks(job.id())) + " running");
 }
 
+// Returns whether the job has neither ended nor been rejected at submission.
 bool is_open(const UserJob& job) {
   return !job.is_over() && job.submission != Submission::kRejected;
 }
@@ -172,8 +172,8 @@
   if (most->second > least->second + 1) fail(line, most->first + " owns too many partitions");
 }
 
-// The highest fencing token limits how often any partition changed its owner: the token of a
-// partition rises with each of its leases.
+// Checks the highest fencing token of all partitions. The token of a partition rises with each of
+// its leases.
 void fencing_token_at_most(const World& world, const Line& line) {
   uint64_t highest = 0;
   for (const auto& lease : partition_leases(world))
--- a/tests/runner/world_scenario.cc
+++ b/tests/runner/world_scenario.cc
@@ -40,8 +40,7 @@
   std::unique_ptr<World> world_;
 };
 
-// ---- statements: each function runs the statement of the same name
-// ----------------------------------------------------------------------------
+// ---- statements: each function runs the statement of the same name -------------------------
 
 size_t get_size(const Line& line, const std::string& name, size_t default_value) {
   return static_cast<size_t>(line.get(name, static_cast<double>(default_value)));
