--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -24,7 +24,7 @@
   heartbeat.is_ready = replica_.synced;
   heartbeat.is_store_available = is_store_responding();
   heartbeat.store_answer_age_s = context_.now.steady - client_.last_response_at();
-  heartbeat.suspects_itself = owner_.suspects_own_isolation();
+  heartbeat.suspects_itself = owner_.is_likely_isolated();
   heartbeat.term = leader_.term();
   heartbeat.addresses = owner_.collect_address_updates();
   heartbeat.unreachable_zones = owner_.unreachable_zones();
@@ -40,7 +40,7 @@
   if (recipients.empty()) return;
   model::LivenessRecord record;
   record.incarnation = context_.incarnation;
-  record.suspects_itself = owner_.suspects_own_isolation();
+  record.suspects_itself = owner_.is_likely_isolated();
   record.intended_recipients = recipients;
   record.unreachable_machines = owner_.unreachable_machines();
   record.unreachable_zones = owner_.unreachable_zones();
--- a/src/rooksill/leader/job_finisher.h
+++ b/src/rooksill/leader/job_finisher.h
@@ -27,7 +27,7 @@
 
   const store::Replica& replica_;
   store::Committer& committer_;
-  std::set<std::string> in_flight_;  // jobs with a pending transaction or read-back
+  std::set<std::string> in_flight_;  // jobs with a transaction or read-back in progress
 };
 
 }  // namespace rooksill::leader
--- a/src/rooksill/leader/partition_assigner.cc
+++ b/src/rooksill/leader/partition_assigner.cc
@@ -13,15 +13,16 @@
 namespace rooksill::leader {
 
 namespace {
-// The following are in report intervals.
+// The following are in heartbeat intervals of the workers (report_s).
 
 // How long after its start this process waits for the other controllers before it assigns
 // partitions.
-constexpr double kStartupWaitReports = 0.2;
+constexpr double kStartupWaitHeartbeats = 0.2;
 // How long a returned controller must have been reachable before partitions are moved to it.
-constexpr double kReturnSettleReports = 2;
-// How long the reports of the owner that replaced a suspect one are trusted.
-constexpr double kReplacementTrustReports = 20;
+constexpr double kReturnSettleHeartbeats = 2;
+// How long an owner's reports of unreachable machines are trusted if it replaced an owner that
+// was probably isolated.
+constexpr double kReplacementTrustHeartbeats = 20;
 
 // A partition is moved only if the controllers' numbers of partitions differ by at least this much,
 // so that a move always makes them more even.
@@ -69,8 +70,9 @@
   Candidates candidates;
   for (const auto& label : labels)
     if (check_eligibility(label)) candidates.labels.push_back(label);
-  // If no controller is eligible, for example because all of them suspect themselves, the fault
-  // lies with the machines rather than the controllers: every live controller is a candidate.
+  // If no controller is eligible, for example because nearly all workers are unreachable to each,
+  // the fault lies with the machines rather than the controllers: every live controller is a
+  // candidate.
   if (candidates.labels.empty())
     for (const auto& label : labels)
       if (is_self(label) || peers_.is_alive(label)) candidates.labels.push_back(label);
@@ -95,7 +97,8 @@
 
 // Returns why the controller may not own partitions; empty if it may.
 std::string PartitionAssigner::ineligibility_reason(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_own_isolation() ? "it suspects itself" : "";
+  if (is_self(label))
+    return owner_.is_likely_isolated() ? "nearly all of its workers are unreachable" : "";
   if (!peers_.is_alive(label)) return "it is not alive";
   const membership::Peer& peer = *peers_.find(label);
   const wire::ControllerHeartbeat& heartbeat = peer.heartbeat;
@@ -103,7 +106,7 @@
   if (membership::Upgrade::is_running_older_version(replica_, label, peer))
     return "it runs an older version";
   if (!heartbeat.is_store_available) return "it cannot reach the store";
-  if (heartbeat.suspects_itself) return "it suspects itself";
+  if (heartbeat.suspects_itself) return "nearly all of its workers are unreachable";
   return "";
 }
 
@@ -112,7 +115,7 @@
 // and then moving most of them again.
 bool PartitionAssigner::should_wait_for_peers() const {
   const double since_start_s = context_.now.steady - election_.first_tick_at();
-  if (since_start_s >= kStartupWaitReports * context_.settings.platform.report_s) return false;
+  if (since_start_s >= kStartupWaitHeartbeats * context_.settings.platform.report_s) return false;
   const auto labels = context_.settings.platform.sorted_labels();
   return std::any_of(labels.begin(), labels.end(), [&](const auto& label) {
     const membership::Peer* peer = peers_.find(label);
@@ -131,7 +134,7 @@
     const int partition = static_cast<int>(i);
     const std::string new_owner = candidates.least_loaded();
     ++candidates.partition_counts[new_owner];
-    if (suspects_itself(current.owner))
+    if (is_likely_isolated(current.owner))
       reassigned_from_suspect_at_[partition] = context_.now.steady;
     write_lease(partition, new_owner,
                 current.owner.empty() ? "first lease" : "its owner is not eligible");
@@ -142,7 +145,7 @@
 // time, preferably the receiver's home partition. Other partitions move as well, because after
 // several crashes each controller may own another's home partition.
 void PartitionAssigner::rebalance(const Candidates& candidates) {
-  const double settle_s = kReturnSettleReports * context_.settings.platform.report_s;
+  const double settle_s = kReturnSettleHeartbeats * context_.settings.platform.report_s;
   const std::map<std::string, int>& counts = candidates.partition_counts;
   std::string most_loaded = candidates.labels.front(), receiver;
   for (const auto& label : candidates.labels) {
@@ -213,11 +216,12 @@
 
 std::set<int> PartitionAssigner::suspect_partitions() const {
   std::set<int> suspect;
-  const double trust_s = kReplacementTrustReports * context_.settings.platform.report_s;
+  const double trust_s = kReplacementTrustHeartbeats * context_.settings.platform.report_s;
   for (size_t i = 0; i < replica_.leases.size(); ++i) {
     const std::string& owner = replica_.leases[i].owner;
     const int partition = static_cast<int>(i);
-    const bool is_doubtful = suspects_itself(owner) || (!is_self(owner) && !peers_.is_alive(owner));
+    const bool is_doubtful =
+        is_likely_isolated(owner) || (!is_self(owner) && !peers_.is_alive(owner));
     auto reassigned = reassigned_from_suspect_at_.find(partition);
     const bool is_replacement_trusted = reassigned != reassigned_from_suspect_at_.end() &&
                                         context_.now.steady - reassigned->second < trust_s;
@@ -247,8 +251,8 @@
   return label == context_.settings.platform.label;
 }
 
-bool PartitionAssigner::suspects_itself(const std::string& label) const {
-  if (is_self(label)) return owner_.suspects_own_isolation();
+bool PartitionAssigner::is_likely_isolated(const std::string& label) const {
+  if (is_self(label)) return owner_.is_likely_isolated();
   const membership::Peer* peer = peers_.find(label);
   return peer != nullptr && peer->heartbeat.suspects_itself;
 }
--- a/src/rooksill/leader/partition_assigner.h
+++ b/src/rooksill/leader/partition_assigner.h
@@ -35,9 +35,9 @@
   void assign();
 
   // Returns the partitions whose owner's reports of unreachable machines are not trusted: the owner
-  // suspects itself, since nearly all of its machines became unreachable at once, which may be a
-  // fault of its own, or the owner is not alive. Reports of the owner that replaces a suspect one
-  // are trusted.
+  // is probably isolated from the network, because nearly all of its machines became unreachable at
+  // once, or the owner is not alive. Reports of the owner that replaces an isolated one are trusted
+  // for a limited time.
   std::set<int> suspect_partitions() const;
   // Returns the zones that partition owners report as unreachable, by partition, and those that are
   // unreachable to most owners. An owner inside an isolated zone can still reach it.
@@ -64,7 +64,7 @@
   model::PartitionLease next_lease(const std::string& label) const;
 
   bool is_self(const std::string& label) const;
-  bool suspects_itself(const std::string& label) const;
+  bool is_likely_isolated(const std::string& label) const;
   uint64_t incarnation_of(const std::string& label) const;
   std::vector<std::string> zones_unreachable_to(const std::string& label) const;
 
@@ -75,9 +75,9 @@
   const partition::PartitionOwner& owner_;
   const Election& election_;
 
-  std::set<int> in_flight_;  // partitions with a pending lease transaction or read-back
+  std::set<int> in_flight_;  // partitions with a lease transaction or read-back in progress
   std::map<std::string, std::string> ineligibility_reasons_;  // by controller; empty: eligible
-  // When each partition was last reassigned from an owner that suspected itself.
+  // When each partition was last reassigned from an owner that was probably isolated.
   std::map<int, double> reassigned_from_suspect_at_;
 };
 
--- a/src/rooksill/leader/partition_chooser.cc
+++ b/src/rooksill/leader/partition_chooser.cc
@@ -27,7 +27,7 @@
 // Ordinary machines count for less for jobs that may run on spot machines.
 constexpr double kOrdinaryForSpotRatio = 0.3;
 
-bool depends_on_zones(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
+bool has_zone_constraint(const model::JobSpec& spec) { return spec.spread || spec.one_zone; }
 
 // Returns how many tasks, up to `max_tasks`, fit into the pool if `cpus` of its CPUs may be used,
 // weighted by the suitability of its machines.
@@ -78,7 +78,7 @@
   demand.shard = shard;
   demand.tasks = job.shards[shard].unplaced();
   demand.filter = {&job.spec, job.spec.zone};
-  if (!depends_on_zones(job.spec)) return demand;
+  if (!has_zone_constraint(job.spec)) return demand;
   for (const auto& other : job.shards)
     for (const auto& task : other.tasks) {
       const model::Machine* machine =
--- a/src/rooksill/leader/pending_work.cc
+++ b/src/rooksill/leader/pending_work.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A shard counts as lacking capacity once it has been pending for a report interval divided by
+// A shard counts as lacking capacity once it has been pending for a heartbeat interval divided by
 // this.
-constexpr double kMinPendingTimesPerReport = 6;
+constexpr double kMinPendingTimesPerHeartbeat = 6;
 
 bool precedes(const fleet::PendingTasks& a, const fleet::PendingTasks& b) {
   if (a.job->spec.priority != b.job->spec.priority)
@@ -24,7 +24,7 @@
   std::vector<fleet::PendingTasks> work;
   std::map<model::ShardId, double> pending_since;
   const double now = context_.now.steady;
-  const double min_pending_s = context_.settings.platform.report_s / kMinPendingTimesPerReport;
+  const double min_pending_s = context_.settings.platform.report_s / kMinPendingTimesPerHeartbeat;
   for (const auto& id : replica_.pending_jobs) {
     if (owner_.is_backing_off(id)) continue;
     const model::Job& job = *replica_.job(id);
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -10,12 +10,13 @@
 namespace rooksill::leader {
 
 namespace {
-// How long a shard stays with a partition before a partition is chosen again, in report intervals.
-constexpr double kRetryReports = 1;
-constexpr double kGangRetryReports = 0.25;
-// How often per report interval the estimates are refreshed and all routes are sent.
-constexpr double kRefreshesPerReport = 10;
-constexpr double kFullSendsPerReport = 6;
+// How long a shard stays with a partition before a partition is chosen again, in heartbeat
+// intervals of the workers (report_s).
+constexpr double kRetryHeartbeats = 1;
+constexpr double kGangRetryHeartbeats = 0.25;
+// How often per heartbeat interval the estimates are refreshed and all routes are sent.
+constexpr double kRefreshesPerHeartbeat = 10;
+constexpr double kFullSendsPerHeartbeat = 6;
 // Each turn routes at least kMinJobsPerTurn pending jobs, and enough of them to cycle through all
 // pending jobs in kTurnsPerFullCycle turns.
 constexpr size_t kMinJobsPerTurn = 20;
@@ -41,7 +42,7 @@
 void Router::refresh(const wire::MachineStatusMap& statuses) {
   if (context_.now.steady < next_refresh_at_) return;
   next_refresh_at_ =
-      context_.now.steady + context_.settings.platform.report_s / kRefreshesPerReport;
+      context_.now.steady + context_.settings.platform.report_s / kRefreshesPerHeartbeat;
   chooser_.refresh(statuses, reported_quota_use());
 }
 
@@ -104,7 +105,7 @@
     if (job == nullptr || replica_.pending_jobs.count(id) == 0) continue;
     const bool is_gang = job->spec.shape == model::Shape::kGang;
     const double retry_interval_s =
-        (is_gang ? kGangRetryReports : kRetryReports) * context_.settings.platform.report_s;
+        (is_gang ? kGangRetryHeartbeats : kRetryHeartbeats) * context_.settings.platform.report_s;
     JobRouting routing{job, uses_fallback, retry_interval_s, std::nullopt};
     for (uint32_t index = 0; index < job->shards.size(); ++index) route_shard(routing, index);
   }
@@ -152,7 +153,7 @@
   if (!full && unsent_routes_.empty() && moves.empty() && transfers.empty()) return;
   Messages messages = empty_messages(full);
   if (full) {
-    next_full_send_at_ = now + context_.settings.platform.report_s / kFullSendsPerReport;
+    next_full_send_at_ = now + context_.settings.platform.report_s / kFullSendsPerHeartbeat;
     remove_placed_shards();
     add_all_routes(messages);
   } else {
--- a/src/rooksill/partition/capacity_tracker.h
+++ b/src/rooksill/partition/capacity_tracker.h
@@ -12,7 +12,7 @@
 // Derives a machine's capacity from the tasks that the store has placed on it, the tasks that its
 // worker reported, and the changes that are decided but not yet written to the store. The result is
 // cached in the worker and recomputed on access after one of these inputs has changed
-// (agent::Worker::capacity_stale).
+// (agent::Worker::is_capacity_stale).
 class CapacityTracker {
  public:
   CapacityTracker(const store::Replica& replica, const placement::EvictedTasks& evicted_tasks,
--- a/src/rooksill/partition/partition_owner.cc
+++ b/src/rooksill/partition/partition_owner.cc
@@ -79,7 +79,7 @@
   }
 }
 
-// A batch of store changes affects only the machines in `touched_machines`.
+// A batch of store changes affects only the machines in `changed_machines`.
 void PartitionOwner::apply_store_changes() {
   for (const auto& name : replica_.changes.changed_machines) {
     const model::Machine* machine = replica_.machine(name);
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -111,7 +111,7 @@
   bool owns(int partition) const { return owned_partitions_.owns(partition); }
   // Returns whether nearly all workers are unreachable, so that this controller rather than its
   // workers is probably cut off from the network.
-  bool suspects_own_isolation() const { return failure_detector_.is_likely_isolated(); }
+  bool is_likely_isolated() const { return failure_detector_.is_likely_isolated(); }
   // Returns the machines that have been unreachable long enough to be given up; at most as many as
   // fit in one store value.
   std::vector<std::string> unreachable_machines() const {
@@ -124,7 +124,7 @@
   // Returns whether placement of the job's tasks is delayed after failures on several machines.
   bool is_backing_off(const std::string& job) const { return job_backoff_.is_backing_off(job); }
   // Returns and clears the last worker that sent a heartbeat without belonging to any partition.
-  std::optional<wire::UnassignedMachine> pop_unassigned_machine() {
+  std::optional<wire::UnassignedMachine> extract_unassigned_machine() {
     return heartbeat_endpoint_.extract_unassigned_machine();
   }
 
--- a/src/rooksill/partition/placement_pass.cc
+++ b/src/rooksill/partition/placement_pass.cc
@@ -43,11 +43,11 @@
 
 PlacementPass::PlacementPass(Environment environment, placement::EvictionBudget& budget,
                              std::vector<agent::Worker*> workers)
-    : env_(std::move(environment)),
+    : environment_(std::move(environment)),
       workers_(std::move(workers)),
       machines_(capacities_of(workers_)),
-      feasibility_(env_.context.settings.platform.objectives),
-      cheapest_cpu_(placement::cheapest_cpu_price(env_.replica.types)),
+      feasibility_(environment_.context.settings.platform.objectives),
+      cheapest_cpu_(placement::cheapest_cpu_price(environment_.replica.types)),
       preemption_(machines_, feasibility_, budget,
                   [this](const MachineCapacity& machine, model::Priority below) {
                     return preemptible_tasks(machine, below);
@@ -75,7 +75,7 @@
   for (const MachineOption& option : options) {
     const int partition = option.capacity->partition;
     if (demand.quota_tasks.count(partition) == 0)
-      demand.quota_tasks[partition] = env_.quota_usage.remaining_tasks(job.spec, partition);
+      demand.quota_tasks[partition] = environment_.quota_usage.remaining_tasks(job.spec, partition);
   }
 
   auto first_without_image = options.end();
@@ -98,7 +98,7 @@
 std::vector<uint32_t> PlacementPass::tasks_to_place(const PendingShard& pending) const {
   const model::TaskShard& shard = pending.job->shards[pending.shard];
   const changes::ShardChanges* shard_changes =
-      env_.changes.find_shard({pending.job->spec.id, pending.shard});
+      environment_.changes.find_shard({pending.job->spec.id, pending.shard});
   std::vector<uint32_t> indexes;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
@@ -108,8 +108,8 @@
       // the same write.
       if (change->kind == TaskChange::Kind::kLost && !shard_changes->is_in_flight())
         indexes.push_back(i);
-    } else if (env_.replica.is_task_pending(task) &&
-               (task.machine.empty() || env_.replica.has_current_lists_for(shard))) {
+    } else if (environment_.replica.is_task_pending(task) &&
+               (task.machine.empty() || environment_.replica.has_current_lists_for(shard))) {
       indexes.push_back(i);
     }
   }
@@ -130,7 +130,8 @@
 // yet written. Returns false if the zone of one of them is unknown.
 bool PlacementPass::count_tasks_by_zone(const model::Job& job, uint32_t shard,
                                         ZoneLimits& zones) const {
-  const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, shard});
+  const changes::ShardChanges* shard_changes =
+      environment_.changes.find_shard({job.spec.id, shard});
   // A task that has exited is no longer on its machine, even if that is not yet written.
   auto has_ended = [&](uint32_t index) {
     if (shard_changes == nullptr) return false;
@@ -143,8 +144,8 @@
     if (tasks[i].machine.empty() || has_ended(i)) continue;
     // A machine missing from the machine lists may have been added after the lists were read: other
     // controllers' shard updates can arrive before the store's watch events.
-    if (env_.replica.is_machine_unlisted(tasks[i].machine) &&
-        !env_.replica.has_current_lists_for(job.shards[shard]))
+    if (environment_.replica.is_machine_unlisted(tasks[i].machine) &&
+        !environment_.replica.has_current_lists_for(job.shards[shard]))
       return false;
     count_task_on(tasks[i].machine, job.spec, zones);
   }
@@ -158,7 +159,7 @@
 
 void PlacementPass::count_task_on(const std::string& machine, const model::JobSpec& spec,
                                   ZoneLimits& zones) const {
-  const model::Machine* record = env_.replica.machine(machine);
+  const model::Machine* record = environment_.replica.machine(machine);
   if (record == nullptr) return;
   zones.add(record->zone);
   if (spec.one_zone) zones.restrict_to(record->zone);
@@ -169,7 +170,7 @@
   const MachineCapacity& capacity = *machines_[machine];
   double count = feasibility_.free_slots(spec, capacity, reserved_[machine]);
   if (count < 1) return 0;
-  count = std::min(count, env_.quota_usage.remaining_tasks(spec, capacity.partition));
+  count = std::min(count, environment_.quota_usage.remaining_tasks(spec, capacity.partition));
   return count < 1 ? 0 : static_cast<uint32_t>(count);
 }
 
@@ -182,8 +183,8 @@
     if (zones.remaining(capacity.zone) == 0) continue;
     const uint32_t count = free_slots(job.spec, i);
     if (count == 0) continue;
-    const double score = placement::score(job, capacity, cheapest_cpu_,
-                                          env_.has_failed_on(job.spec.id, capacity.machine));
+    const double score = placement::score(
+        job, capacity, cheapest_cpu_, environment_.has_failed_on(job.spec.id, capacity.machine));
     options.push_back({i, &capacity, count, placement::image_wait_s(job, capacity), score});
   }
   return options;
@@ -200,13 +201,15 @@
       const uint32_t index = tasks.indexes[tasks.placed++];
       const uint64_t attempt = shard.tasks[index].attempt + 1;
       const model::TaskRef ref{job.spec.id, tasks.shard * job.tasks_per_shard + index};
-      env_.changes.add(ref, TaskChange::placed(worker.name, worker.capacity.partition, attempt));
-      env_.context.debug(
-          "placement", "task {} attempt {} assigned to {} {:.2f} s after submission{}",
-          wire::task_name(ref), attempt, worker.name, env_.context.now.wall - job.submitted_at,
-          worker.capacity.has_image(job.image) ? "" : ", image not cached");
+      environment_.changes.add(ref,
+                               TaskChange::placed(worker.name, worker.capacity.partition, attempt));
+      environment_.context.debug("placement",
+                                 "task {} attempt {} assigned to {} {:.2f} s after submission{}",
+                                 wire::task_name(ref), attempt, worker.name,
+                                 environment_.context.now.wall - job.submitted_at,
+                                 worker.capacity.has_image(job.image) ? "" : ", image not cached");
     }
-    env_.capacities.recompute(worker);
+    environment_.capacities.recompute(worker);
   }
 }
 
@@ -215,20 +218,20 @@
 uint32_t PlacementPass::preempt(const model::Job& job, uint32_t tasks, const ZoneLimits& zones,
                                 bool only_with_image) {
   const auto within_quota = [&](int partition) {
-    return env_.quota_usage.allows_task(job.spec, partition);
+    return environment_.quota_usage.allows_task(job.spec, partition);
   };
   const placement::PreemptionPlan plan =
       preemption_.plan({&job, tasks, zones, only_with_image, within_quota});
   for (const placement::Eviction& eviction : plan.evictions) {
     agent::Worker& worker = *workers_[eviction.machine_index];
     for (const model::TaskRef& ref : eviction.tasks) {
-      env_.context.debug("placement", "task {} on {} evicted to free capacity for job {}",
-                         wire::task_name(ref), worker.name, job.spec.id);
-      env_.context.count("tasks_stopped");
-      env_.evicted_tasks.mark_evicted(ref, env_.replica.task(ref)->attempt);
+      environment_.context.debug("placement", "task {} on {} evicted to free capacity for job {}",
+                                 wire::task_name(ref), worker.name, job.spec.id);
+      environment_.context.count("tasks_stopped");
+      environment_.evicted_tasks.mark_evicted(ref, environment_.replica.task(ref)->attempt);
     }
-    env_.workers.mark_changed(worker);
-    env_.capacities.recompute(worker);
+    environment_.workers.mark_changed(worker);
+    environment_.capacities.recompute(worker);
   }
   return plan.tasks;
 }
@@ -236,10 +239,10 @@
 std::vector<placement::PreemptibleTask> PlacementPass::preemptible_tasks(
     const MachineCapacity& machine, model::Priority below) const {
   std::vector<placement::PreemptibleTask> tasks;
-  for (const auto& ref : env_.replica.placed_on(machine.machine)) {
-    const model::JobSpec& spec = env_.replica.job(ref.job)->spec;
+  for (const auto& ref : environment_.replica.placed_on(machine.machine)) {
+    const model::JobSpec& spec = environment_.replica.job(ref.job)->spec;
     if (spec.priority >= below || spec.shape == model::Shape::kGang) continue;
-    if (env_.evicted_tasks.contains(ref)) continue;
+    if (environment_.evicted_tasks.contains(ref)) continue;
     tasks.push_back({spec.priority, ref, spec.request});
   }
   return tasks;
--- a/src/rooksill/partition/placement_pass.h
+++ b/src/rooksill/partition/placement_pass.h
@@ -94,7 +94,7 @@
   void reserve_capacity_for_gang(const model::Job& job);
   uint32_t reserve_free_slots(const model::JobSpec& spec, const std::string& zone);
 
-  const Environment env_;
+  const Environment environment_;
   const std::vector<agent::Worker*> workers_;
   // Capacities of the workers' machines, parallel to workers_.
   const std::vector<const placement::MachineCapacity*> machines_;
--- a/src/rooksill/partition/placement_pass_gangs.cc
+++ b/src/rooksill/partition/placement_pass_gangs.cc
@@ -29,7 +29,7 @@
 // gone.
 std::optional<uint64_t> PlacementPass::next_gang_attempt(const model::Job& job) const {
   const model::TaskShard& shard = job.shards.front();
-  const changes::ShardChanges* shard_changes = env_.changes.find_shard({job.spec.id, 0});
+  const changes::ShardChanges* shard_changes = environment_.changes.find_shard({job.spec.id, 0});
   uint64_t last_attempt = 0;
   for (uint32_t i = 0; i < shard.tasks.size(); ++i) {
     const model::TaskState& task = shard.tasks[i];
@@ -40,8 +40,8 @@
       // that is already in flight.
       if (change->kind != TaskChange::Kind::kLost || shard_changes->is_in_flight())
         return std::nullopt;
-    } else if (!env_.replica.is_task_pending(task) ||
-               (!task.machine.empty() && !env_.replica.has_current_lists_for(shard))) {
+    } else if (!environment_.replica.is_task_pending(task) ||
+               (!task.machine.empty() && !environment_.replica.has_current_lists_for(shard))) {
       return std::nullopt;
     }
   }
@@ -51,9 +51,9 @@
 // Returns the demand of the whole gang, limited by the team's remaining quota in each partition.
 Demand PlacementPass::gang_demand(const model::JobSpec& spec) {
   Demand demand{spec.tasks, ZoneLimits(spec), {}};
-  for (const int partition : env_.owned_partitions.acquired_partitions())
-    demand.quota_tasks[partition] =
-        std::clamp<double>(env_.quota_usage.remaining_tasks(spec, partition), 0, spec.tasks);
+  for (const int partition : environment_.owned_partitions.acquired_partitions())
+    demand.quota_tasks[partition] = std::clamp<double>(
+        environment_.quota_usage.remaining_tasks(spec, partition), 0, spec.tasks);
   return demand;
 }
 
@@ -70,14 +70,15 @@
   for (const auto& assignment : plan) {
     agent::Worker& worker = *workers_[assignment.machine_index];
     for (uint32_t k = 0; k < assignment.tasks; ++k)
-      env_.changes.add({job.spec.id, next++},
-                       TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
-    env_.context.debug("placement",
-                       "{} tasks of gang {} attempt {} assigned to {} {:.2f} s after submission{}",
-                       assignment.tasks, job.spec.id, *attempt, worker.name,
-                       env_.context.now.wall - job.submitted_at,
-                       worker.capacity.has_image(job.image) ? "" : ", image not cached");
-    env_.capacities.recompute(worker);
+      environment_.changes.add(
+          {job.spec.id, next++},
+          TaskChange::placed(worker.name, worker.capacity.partition, *attempt));
+    environment_.context.debug(
+        "placement", "{} tasks of gang {} attempt {} assigned to {} {:.2f} s after submission{}",
+        assignment.tasks, job.spec.id, *attempt, worker.name,
+        environment_.context.now.wall - job.submitted_at,
+        worker.capacity.has_image(job.image) ? "" : ", image not cached");
+    environment_.capacities.recompute(worker);
   }
 }
 
@@ -87,7 +88,7 @@
 void PlacementPass::reserve_capacity_for_gang(const model::Job& job) {
   const auto best_zone = placement::max_gang_capacity(job.spec, machines_, feasibility_);
   if (!best_zone) return;
-  const auto& context = env_.context;
+  const auto& context = environment_.context;
   const bool has_waited_long = context.now.wall - job.submitted_at >
                                kReserveAfterHeartbeats * context.settings.platform.report_s;
   const bool is_sufficient = best_zone->tasks >= job.spec.tasks;
--- a/src/rooksill/policy/demand.h
+++ b/src/rooksill/policy/demand.h
@@ -4,9 +4,10 @@
 
 namespace rooksill::policy {
 
-// Exponentially weighted moving averages over periods, in machines' worth of tasks. In the paper of
-// the sizing rule a machine serves one request. Here many tasks share a machine, so a task counts
-// as the share of a machine that it uses; with one task per machine this equals the paper's count.
+// Exponentially weighted moving averages over periods. Tasks are counted in machines. In the paper
+// of the sizing rule a machine serves one request. Here many tasks share a machine, so a task
+// counts as the share of a machine that it uses; with one task per machine this equals the paper's
+// count.
 //
 // Only first attempts count as arrivals, and only completions as finished, so that failing jobs
 // inflate neither rate. The arrivals of a period are limited to a multiple of the average, so that
--- a/src/rooksill/policy/sizing.h
+++ b/src/rooksill/policy/sizing.h
@@ -18,6 +18,7 @@
 
 namespace rooksill::policy {
 
+// The state of one pool of machines and the parameters of the rule.
 struct SizingInput {
   int rented = 0;            // x
   double busy = 0;           // y
@@ -32,6 +33,7 @@
   double holding_cost = 1;    // h, of holding a machine for a period
 };
 
+// The decision for the first period and its expected outcome.
 struct SizingResult {
   int machines_to_rent = 0;       // u; negative: machines to return
   double cost = 0;                // expected, of this and all later periods of the horizon, with u
--- a/src/rooksill/routing/fallback_routing.cc
+++ b/src/rooksill/routing/fallback_routing.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// How long a shard stays with one partition, in report intervals.
-constexpr double kTurnReports = 2;
+// How long a shard stays with one partition, in heartbeat intervals.
+constexpr double kTurnHeartbeats = 2;
 
 // Returns whether all shards of the job must be in the same partition: only one partition at a time
 // places a job whose tasks' placements depend on each other.
@@ -28,7 +28,7 @@
 
 int fallback_partition(const Settings& settings, const store::Replica& replica,
                        const model::Job& job, uint32_t shard, double wall_time) {
-  const double turn_s = kTurnReports * settings.platform.report_s;
+  const double turn_s = kTurnHeartbeats * settings.platform.report_s;
   const size_t partitions = replica.leases.size();
   uint64_t turn = initial_turn(job.spec, shard) +
                   static_cast<uint64_t>(std::max(0.0, wall_time - job.submitted_at) / turn_s);
