--- a/src/rooksill/partition/machine_status.cc
+++ b/src/rooksill/partition/machine_status.cc
@@ -61,9 +61,8 @@
 std::string MachineSummary::to_string() const {
   return fmt::format(
       "machines: {}, {} reporting, {} schedulable with {:.0f} of {:.0f} CPUs free, {} with "
-      "commands in flight; tasks: {} placed; reported: {} fetching, {} gathering, {} running, {} "
-      "saving, {} "
-      "exited",
+      "commands in flight; tasks: {} placed; reported: {} fetching, {} gathering, {} running, "
+      "{} saving, {} exited",
       total_machines_, reporting_machines_, schedulable_, free_cpus_, cpus_, commands_in_flight_,
       placed_tasks_, tasks_by_phase_[0], tasks_by_phase_[1], tasks_by_phase_[2], tasks_by_phase_[3],
       tasks_by_phase_[4]);
