--- a/src/rooksill/agent/command_sender.h
+++ b/src/rooksill/agent/command_sender.h
@@ -39,7 +39,7 @@
   void send_urgent();
 
  private:
-  // A request whose response is outstanding.
+  // A request to a worker without a response yet.
   struct InFlightCommand {
     std::string machine;
     model::FencingToken token;
--- a/src/rooksill/agent/failure_detector.cc
+++ b/src/rooksill/agent/failure_detector.cc
@@ -32,8 +32,8 @@
       self_check_(context, workers) {}
 
 void FailureDetector::check() {
-  // If most workers have stopped their heartbeats, this controller is the one that does not receive
-  // them, and the workers are not marked as unreachable for it.
+  // If most workers seem to have stopped their heartbeats, the cause is that this controller does
+  // not receive them, so no worker is marked as unreachable for missing heartbeats.
   const bool should_mark_stopped_workers = do_most_send_heartbeats();
   SelfCheck::ResponseCounts counts;
   for (auto& [name, worker] : workers_) {
@@ -78,7 +78,7 @@
              kProbeAfterHeartbeats * context_.settings.platform.report_s;
 }
 
-// For a machine that the cloud is about to reclaim, the timeout is not waited for.
+// Does not wait for the timeout if the cloud is about to reclaim the machine.
 bool FailureDetector::is_timeout_exceeded(const Worker& worker) const {
   return seconds_since_contact(worker, context_) > unreachable_timeout_s() || worker.terminates_at;
 }
@@ -149,19 +149,19 @@
   if (worker == nullptr) return;
   worker->probe.is_in_flight = false;
   const auto heartbeat = wire::parse_heartbeat(done.body);
-  const bool is_answered = done.status == 200 && heartbeat;
-  if (is_answered && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
+  const bool has_responded = done.status == 200 && heartbeat;
+  if (has_responded && heartbeat->machine == name) return on_heartbeat_(*worker, *heartbeat);
   worker->probe.has_failed = ++worker->probe.consecutive_failures >= kUnreachableProbeFailures;
   if (const model::Machine* machine = replica_.machine(name)) zones_.probe_sample(machine->zone);
 }
 
 std::vector<std::string> FailureDetector::unreachable_machines() const {
-  std::vector<std::string> out;
+  std::vector<std::string> machines;
   const size_t max_count =
       context_.settings.platform.store_max_value_bytes / model::kMaxItemBytes / 2;
   for (const auto& [name, worker] : workers_)
-    if (worker.is_unreachable && out.size() < max_count) out.push_back(name);
-  return out;
+    if (worker.is_unreachable && machines.size() < max_count) machines.push_back(name);
+  return machines;
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/failure_detector.h
+++ b/src/rooksill/agent/failure_detector.h
@@ -27,7 +27,7 @@
   FailureDetector(runtime::Context& context, const store::Replica& replica, WorkerTable& workers,
                   HeartbeatHandler on_heartbeat);
 
-  // Sends the probes that are due and updates the state of every worker. Has to be called
+  // Sends the probes that are due and updates the state of every worker. Must be called
   // periodically.
   void check();
   // Records that a message from the worker was received.
@@ -47,6 +47,7 @@
   bool do_most_send_heartbeats() const;
   // Whether the worker is expected to run: it has reported, or tasks are placed on it.
   bool is_response_expected(const Worker& worker) const;
+  // Whether a worker that is expected to run has failed its probes and is still without contact.
   bool is_unresponsive(const Worker& worker) const;
   bool is_timeout_exceeded(const Worker& worker) const;
   void set_unreachable(Worker& worker, bool is_unreachable);
--- a/src/rooksill/agent/heartbeat_endpoint.h
+++ b/src/rooksill/agent/heartbeat_endpoint.h
@@ -21,9 +21,8 @@
 //   200  accepted; the body carries commands for the worker
 //   400  the request body is not a heartbeat
 //   421  the worker belongs to another controller, whose label is in the body if it is known
-//   503  retry later: the partition is not acquired yet, or this controller's knowledge of the
-//   store
-//        or of cancellations is not current
+//   503  retry later: this controller has not read all records of the store yet, has not finished
+//        acquiring the partition, or may not renew leases now (RenewalPermit)
 class HeartbeatEndpoint {
  public:
   // All references must outlive the endpoint.
--- a/src/rooksill/agent/reconciler.cc
+++ b/src/rooksill/agent/reconciler.cc
@@ -21,8 +21,8 @@
   return {WorkerCommand::Op::kStop, task.task, task.attempt, grace_s};
 }
 
-// Returns whether an exit is no sign of a machine fault: the task was told to stop, or ended
-// because its gang was incomplete.
+// Returns whether an exit is no sign of a machine fault: the task was stopped by a command, or
+// ended because its gang was incomplete.
 bool is_intentional_exit(wire::ExitCause cause) {
   return cause == wire::ExitCause::kStopped || cause == wire::ExitCause::kGangMemberLost ||
          cause == wire::ExitCause::kGangIncomplete;
@@ -193,7 +193,7 @@
     return;
   failures.is_faulty = true;
   context_.info("agent",
-                "machine {} is faulty: tasks of several jobs failed on it; it is to be returned",
+                "machine {} is faulty and will be returned: tasks of several jobs failed on it",
                 worker.name);
 }
 
--- a/src/rooksill/agent/reconciler.h
+++ b/src/rooksill/agent/reconciler.h
@@ -42,6 +42,7 @@
     JobBackoff& backoff;
   };
 
+  // `exceeds_quota` is called before a task is started in place.
   Reconciler(const Dependencies& dependencies, QuotaCheck exceeds_quota);
 
   // Returns the commands that the worker has to execute, and adds changes of task states to the
--- a/src/rooksill/agent/worker.h
+++ b/src/rooksill/agent/worker.h
@@ -98,14 +98,14 @@
 struct Worker {
   std::string name;     // of its machine
   std::string address;  // empty if unknown
-  int partition = 0;
+  int partition = 0;    // that the machine belongs to
   WorkerTokens tokens;
 
   // Contents of its latest heartbeat. Before the first one, which tasks it runs is unknown.
   bool has_reported = false;  // a heartbeat was accepted since this controller owns the partition
   HeartbeatVersion version;
-  std::vector<wire::ReportedTask> tasks;
-  std::optional<double> terminates_at;  // when the cloud reclaims the machine, once announced
+  std::vector<wire::ReportedTask> tasks;  // on the machine, including those that have exited
+  std::optional<double> terminates_at;    // when the cloud reclaims the machine, once announced
 
   WorkerContact contact;
   ProbeState probe;
--- a/src/rooksill/agent/worker_table.cc
+++ b/src/rooksill/agent/worker_table.cc
@@ -94,23 +94,23 @@
 }
 
 std::vector<wire::MachineAddress> WorkerTable::collect_address_updates() {
-  std::vector<wire::MachineAddress> out = std::exchange(new_addresses_, {});
+  std::vector<wire::MachineAddress> updates = std::exchange(new_addresses_, {});
   size_t position = ++republish_turn_;
   for (const auto& [name, worker] : workers_)
     if (++position % kRepublishTurns == 0 && !worker.address.empty())
-      out.push_back({name, worker.address});
-  return out;
+      updates.push_back({name, worker.address});
+  return updates;
 }
 
 std::vector<WorkerTable::DueStatus> WorkerTable::collect_due_statuses(bool include_all) {
-  std::vector<DueStatus> out;
+  std::vector<DueStatus> due;
   size_t position = republish_turn_;
   for (auto& [name, worker] : workers_) {
     const bool must_republish = ++position % kRepublishTurns == 0 || include_all;
     const bool has_changed = std::exchange(worker.has_status_change, false);
-    if (must_republish || has_changed) out.push_back({&worker, must_republish});
+    if (must_republish || has_changed) due.push_back({&worker, must_republish});
   }
-  return out;
+  return due;
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/worker_table.h
+++ b/src/rooksill/agent/worker_table.h
@@ -21,6 +21,7 @@
  public:
   // Workers by machine name.
   using Workers = std::unordered_map<std::string, Worker>;
+  // Called with one worker.
   using Visitor = std::function<void(Worker&)>;
 
   WorkerTable(const runtime::Context& context, const store::Replica& replica)
@@ -97,7 +98,7 @@
   std::set<std::string> draining_;
   std::unordered_map<std::string, std::string> addresses_;  // by machine
   std::vector<wire::MachineAddress> new_addresses_;
-  size_t republish_turn_ = 0;
+  size_t republish_turn_ = 0;  // counts the calls of collect_address_updates
 };
 
 }  // namespace rooksill::agent
--- a/src/rooksill/agent/zone_monitor.cc
+++ b/src/rooksill/agent/zone_monitor.cc
@@ -34,14 +34,14 @@
 }
 
 std::vector<const Worker*> ZoneMonitor::reported_workers_in(const std::string& zone) const {
-  std::vector<const Worker*> out;
+  std::vector<const Worker*> reported;
   for (const auto& [name, worker] : workers_) {
     const model::Machine* machine = replica_.machine(name);
     if (machine != nullptr && machine->zone == zone && worker.has_reported &&
         !worker.address.empty())
-      out.push_back(&worker);
+      reported.push_back(&worker);
   }
-  return out;
+  return reported;
 }
 
 void ZoneMonitor::on_response(const std::string& zone, double started_at) {
@@ -95,10 +95,10 @@
 }
 
 std::vector<std::string> ZoneMonitor::unreachable_zones() const {
-  std::vector<std::string> out;
+  std::vector<std::string> zones;
   for (const auto& [zone, sample] : samples_)
-    if (sample.verdict == Verdict::kUnreachable) out.push_back(zone);
-  return out;
+    if (sample.verdict == Verdict::kUnreachable) zones.push_back(zone);
+  return zones;
 }
 
 }  // namespace rooksill::agent
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -146,7 +146,7 @@
 // Forwards a machine that has reported without belonging to a partition to the leader, which
 // assigns it to one.
 void Controller::forward_unassigned_machine() {
-  const auto machine = owner_.pop_unassigned_machine();
+  const auto machine = owner_.extract_unassigned_machine();
   if (!machine) return;
   const std::string& leader = replica_.leader.label;
   if (leader_.is_leading())
@@ -188,7 +188,7 @@
     machine_statuses_.derive_from_store();
   fleet_.sample_demand();
   leader_.tick(machine_statuses_.statuses());
-  for (const auto& [machine, address] : fleet_.pop_addresses())
+  for (const auto& [machine, address] : fleet_.extract_addresses())
     owner_.record_address(machine, address);
 }
 
--- a/src/rooksill/fleet/capacity_limits.cc
+++ b/src/rooksill/fleet/capacity_limits.cc
@@ -5,7 +5,7 @@
 namespace rooksill::fleet {
 
 namespace {
-constexpr int kMaxCountedRefusals = 4;            // more refusals extend the times below no further
+constexpr int kMaxCountedRefusals = 4;            // further refusals do not extend the times below
 constexpr double kLimitHeartbeatsPerRefusal = 5;  // time an observed limit is valid
 constexpr double kBlockHeartbeatsPerRefusal = 2;  // time without requests for the offer
 }  // namespace
--- a/src/rooksill/fleet/cloud_inventory.cc
+++ b/src/rooksill/fleet/cloud_inventory.cc
@@ -101,7 +101,7 @@
   lists_.add({name}, offer);
 }
 
-std::vector<wire::MachineAddress> CloudInventory::pop_addresses() {
+std::vector<wire::MachineAddress> CloudInventory::extract_addresses() {
   std::vector<wire::MachineAddress> addresses;
   for (auto& [machine, address] : addresses_) addresses.push_back({machine, address});
   addresses_.clear();
--- a/src/rooksill/fleet/cloud_inventory.h
+++ b/src/rooksill/fleet/cloud_inventory.h
@@ -43,7 +43,7 @@
   void on_unassigned_machine(const wire::UnassignedMachine& report);
   // Returns the machine addresses received since the last call, ordered by machine, and clears
   // them.
-  std::vector<wire::MachineAddress> pop_addresses();
+  std::vector<wire::MachineAddress> extract_addresses();
 
  private:
   void on_response(const runtime::CallDone& done);
--- a/src/rooksill/fleet/demand_meter.h
+++ b/src/rooksill/fleet/demand_meter.h
@@ -24,7 +24,7 @@
   // each tick; ticks between two samples have no effect.
   void sample();
 
-  // Returns the pool's demand; λ is 0 for a pool without any recorded task.
+  // Returns the pool's demand. The arrival rate λ is 0 for a pool without any recorded task.
   const policy::Demand& demand_of(const InstancePool& pool) { return demand_[pool]; }
   // Returns the end of the current period, by the steady clock.
   double period_ends_at() const { return period_ends_at_; }
--- a/src/rooksill/fleet/drain_moves.h
+++ b/src/rooksill/fleet/drain_moves.h
@@ -26,7 +26,7 @@
   // Plans the next round of moves.
   void plan_moves(const wire::MachineStatusMap& statuses);
   // Returns the moves planned since the last call and clears them.
-  std::vector<wire::TaskMove> pop_moves() { return std::exchange(moves_, {}); }
+  std::vector<wire::TaskMove> extract_moves() { return std::exchange(moves_, {}); }
 
  private:
   // Remaining limits of one round.
--- a/src/rooksill/fleet/fleet.h
+++ b/src/rooksill/fleet/fleet.h
@@ -65,8 +65,8 @@
   const std::set<std::string>& draining() const { return returns_.draining(); }
   // Return the task moves (for the partition owners) and the machine addresses that were collected
   // since the last call, and clear them.
-  std::vector<wire::TaskMove> pop_moves() { return drain_moves_.pop_moves(); }
-  std::vector<wire::MachineAddress> pop_addresses() { return inventory_.pop_addresses(); }
+  std::vector<wire::TaskMove> extract_moves() { return drain_moves_.extract_moves(); }
+  std::vector<wire::MachineAddress> extract_addresses() { return inventory_.extract_addresses(); }
 
  private:
   void rent_on_demand(const wire::MachineStatusMap& statuses,
--- a/src/rooksill/fleet/free_space.h
+++ b/src/rooksill/fleet/free_space.h
@@ -14,7 +14,7 @@
 struct FreeSpace {
   const model::MachineType* type = nullptr;
   std::string zone;
-  bool spot = false;
+  bool spot = false;  // is a spot machine
   model::Resources free;
   int partition = kAnyPartition;  // kAnyPartition: of a requested machine not yet assigned
 };
--- a/src/rooksill/fleet/job_demand.h
+++ b/src/rooksill/fleet/job_demand.h
@@ -27,6 +27,7 @@
   void restrict_to_partition(int partition) { partition_ = partition; }
   void restrict_to_zone(const std::string& zone) { zone_ = zone; }
 
+  // Returns the specification of the job.
   const model::JobSpec& spec() const { return spec_; }
   // Returns the partition that the tasks are restricted to, or kAnyPartition.
   int partition() const { return partition_; }
--- a/src/rooksill/fleet/machine_returns.h
+++ b/src/rooksill/fleet/machine_returns.h
@@ -14,7 +14,7 @@
 namespace rooksill::fleet {
 
 // A machine that is not needed is drained: its owner starts no new tasks there, and its tasks are
-// moved or left to finish. A drain can be canceled. A release cannot: it is requested until the
+// moved or left to finish. A drain can be cancelled. A release cannot: it is requested until the
 // cloud confirms it, which proves that the machine and its tasks are gone.
 class MachineReturns {
  public:
@@ -36,8 +36,11 @@
   // Forgets confirmed releases that are older than the maximum lag of the cloud's list.
   void forget_old_releases();
 
+  // Returns the names of the machines being drained.
   const std::set<std::string>& draining() const { return draining_; }
+  // Returns whether the machine is being drained.
   bool is_draining(const std::string& name) const { return draining_.count(name) != 0; }
+  // Returns whether a release was started that the cloud has not confirmed yet.
   bool is_being_released(const std::string& name) const { return releasing_.count(name) != 0; }
   // Returns whether the machine is being released, or is released and still in a partition's list.
   // Such a machine no longer provides capacity.
--- a/src/rooksill/fleet/offer.h
+++ b/src/rooksill/fleet/offer.h
@@ -14,7 +14,7 @@
 // The machines of one type that are all spot machines or all ordinary ones. Each pool is sized
 // independently.
 struct InstancePool {
-  std::string type;
+  std::string type;  // name of the machine type
   bool spot = false;
   auto operator<=>(const InstancePool&) const = default;
 };
--- a/src/rooksill/fleet/on_demand_rentals.cc
+++ b/src/rooksill/fleet/on_demand_rentals.cc
@@ -132,7 +132,7 @@
     if (demand.unassigned() == 0) break;
     std::optional<FreeSpace> space = free_space_on_draining(name, demand.spec(), statuses);
     if (!space || assign_tasks(demand, *space, plan) == 0) continue;
-    context_.info("fleet", "drain of machine {} canceled: it can run pending tasks", name);
+    context_.info("fleet", "drain of machine {} cancelled: it can run pending tasks", name);
     plan.spaces.push_back(*std::move(space));
     returns_.stop_draining(name);
   }
@@ -169,8 +169,8 @@
 }
 
 // Returns the offer with the lowest price per task for the job's unassigned tasks. The number of
-// tasks per machine is limited to twice the unassigned tasks of all such jobs, not only of this
-// job.
+// tasks counted per machine is limited to twice the unassigned tasks of all jobs that allow the
+// same kinds of machines, so that a machine larger than the tasks can use is not preferred.
 std::optional<OnDemandRentals::OfferChoice> OnDemandRentals::cheapest_offer(const JobDemand& demand,
                                                                             Plan& plan) const {
   const model::JobSpec& spec = demand.spec();
--- a/src/rooksill/fleet/on_demand_rentals.h
+++ b/src/rooksill/fleet/on_demand_rentals.h
@@ -53,6 +53,7 @@
     double& unassigned(const model::JobSpec& spec) {
       return spec.spot ? unassigned_spot : unassigned_ordinary;
     }
+    // Returns the number of machines of the offer planned so far.
     int planned_count(const Offer& offer) const;
   };
   // An offer with its machine type.
--- a/src/rooksill/fleet/rentals.cc
+++ b/src/rooksill/fleet/rentals.cc
@@ -70,7 +70,7 @@
     requests_.erase(it);
     return;
   }
-  // The request failed for another reason, or its outcome is unknown: retries it.
+  // The request failed for another reason, or its outcome is unknown, so it is retried.
   request.next_try_at = context_.now.steady + context_.settings.platform.report_s / 3;
   if (++request.failed_tries > kMaxFailedTries) requests_.erase(it);
 }
--- a/src/rooksill/fleet/rentals.h
+++ b/src/rooksill/fleet/rentals.h
@@ -41,7 +41,8 @@
   // Drops the requests of a former term.
   void start_term(uint64_t term);
 
-  // Queues a request for `count` machines, at most kMaxMachinesPerRental. `reason` is for the log.
+  // Queues a request for `count` machines, or for kMaxMachinesPerRental if that is fewer; the
+  // others are not requested. Has no effect if `count` is not positive. `reason` is for the log.
   void request(const Offer& offer, int count, const std::string& reason,
                int partition = kAnyPartition);
   // Sends the requests that are due, as far as the rate limit allows.
--- a/src/rooksill/fleet/zone_reserves.cc
+++ b/src/rooksill/fleet/zone_reserves.cc
@@ -104,7 +104,7 @@
     const model::Machine* machine = replica_.machine(name);
     if (machine == nullptr || machine->spot || returns_.is_being_released(name)) continue;
     if (zone != kAllZones && machine->zone != zone) continue;
-    context_.info("fleet", "drain of machine {} canceled: capacity below the reserve of zone '{}'",
+    context_.info("fleet", "drain of machine {} cancelled: capacity below the reserve of zone '{}'",
                   name, zone);
     returns_.stop_draining(name);
     return true;
--- a/src/rooksill/leader/router.cc
+++ b/src/rooksill/leader/router.cc
@@ -147,7 +147,7 @@
 void Router::send_routes() {
   const double now = context_.now.steady;
   const bool full = now >= next_full_send_at_;
-  const auto moves = fleet_.pop_moves();
+  const auto moves = fleet_.extract_moves();
   const auto transfers = chooser_.decide_transfers(reachable_partitions());
   if (!full && unsent_routes_.empty() && moves.empty() && transfers.empty()) return;
   Messages messages = empty_messages(full);
--- a/src/rooksill/membership/cancellations.cc
+++ b/src/rooksill/membership/cancellations.cc
@@ -129,9 +129,9 @@
   }
 }
 
-// The time of arrival is no lower bound for the time when a heartbeat was sent: delivery can take
-// minutes. The heartbeat was sent later than the heartbeat of ours that it acknowledges, whose time
-// is known by our clock, so that time is used.
+// A heartbeat may arrive minutes after it was sent, so its arrival does not show from when its
+// contents are. But it was sent after the heartbeat of this process that it acknowledges, whose
+// time is known by this process's clock, so that time is used.
 void Cancellations::process_ack(const std::string& label, const wire::CancellationAck& ack,
                                 uint64_t announced_count, PeerProgress& progress) {
   progress.acknowledged_up_to = std::max(progress.acknowledged_up_to, ack.cancellation_count);
--- a/src/rooksill/membership/cancellations.h
+++ b/src/rooksill/membership/cancellations.h
@@ -60,8 +60,8 @@
     uint64_t announced_count = 0;  // the highest count of its cancellations that it announced
     uint64_t received_up_to = 0;   // all of its cancellations up to this number are known here
     std::deque<CountSample> count_samples;  // received after the replica was last in sync
-    uint64_t acknowledged_up_to = 0;        // it has all of ours up to this number
-    uint64_t sent_up_to = 0;                // ours up to this number were sent to it
+    uint64_t acknowledged_up_to = 0;        // it has all of this process's up to this number
+    uint64_t sent_up_to = 0;                // this process's up to this number were sent to it
     double next_resend_at = kNever;
   };
 
--- a/src/rooksill/membership/peers.cc
+++ b/src/rooksill/membership/peers.cc
@@ -30,8 +30,8 @@
   return envelope.version >= model::kFirstVersion && envelope.version <= model::kPresentVersion;
 }
 
-// Incarnations grow with the time of day. Delayed packets can arrive out of order, also from an
-// earlier process.
+// Incarnations increase with the wall-clock time of the start. Delayed packets can arrive out of
+// order, also from an earlier process.
 bool is_stale(const wire::Envelope& envelope, const Peer& peer) {
   if (envelope.incarnation != peer.incarnation) return envelope.incarnation < peer.incarnation;
   return envelope.sequence <= peer.last_sequence;
@@ -82,7 +82,8 @@
   for (const auto& label : labels_) send(label, kind, payload);
 }
 
-// A lost connection is no proof of failure: the peer is left half of the timeout to send a message.
+// A lost connection does not prove that the peer has failed: it still has half of the timeout to
+// send a message.
 void Peers::handle_connection_loss(const std::string& label) {
   auto found = peers_.find(label);
   if (found == peers_.end()) return;
@@ -155,7 +156,8 @@
   return recipients;
 }
 
-// The peer's recent liveness record is addressed to us: messages to it or from it do not arrive.
+// Returns whether the peer's recent liveness record is addressed to this controller, which shows
+// that messages between the two do not arrive.
 bool Peers::is_liveness_record_needed(const std::string& label, const Peer& peer,
                                       const store::Replica& replica) const {
   auto record = replica.liveness_records.find(label);
--- a/src/rooksill/membership/peers.h
+++ b/src/rooksill/membership/peers.h
@@ -26,7 +26,7 @@
   int envelope_version = 0;    // version of its last envelope
   // When its last message was received; adjusted by handle_connection_loss() and extend_timeouts().
   double last_received_at = kNever;
-  // Since when it is alive without interruption and in the same process.
+  // When its present period of being alive without interruption, in one process, began.
   double alive_since = 0;
   // When its last liveness record that is addressed to this controller was read from the store.
   double liveness_record_seen_at = kNever;
@@ -58,9 +58,10 @@
   // envelopes of a newer one.
   void set_envelope_version(int version) { envelope_version_ = version; }
 
-  // Shortens the peer's timeout after a connection to it ended or was refused.
+  // Shortens the peer's timeout after an established connection to it ended.
   void handle_connection_loss(const std::string& label);
-  // Extends all timeouts by a pause of this process, during which it could receive no messages.
+  // Extends all timeouts by the length of a pause of this process, during which it could not
+  // receive messages.
   void extend_timeouts(double pause_s);
 
   // Reads the peers' liveness records that are new in the replica.
--- a/src/rooksill/membership/upgrade.h
+++ b/src/rooksill/membership/upgrade.h
@@ -18,7 +18,7 @@
 
 namespace rooksill::membership {
 
-// Records versions in the store and tells whether the upgrade to the present one is complete.
+// Records versions in the store and determines whether the upgrade to the present one is complete.
 class Upgrade {
  public:
   Upgrade(runtime::Context& context, const store::Replica& replica, store::Committer& committer,
--- a/src/rooksill/partition/partition_owner.h
+++ b/src/rooksill/partition/partition_owner.h
@@ -124,7 +124,7 @@
   // Returns whether placement of the job's tasks is delayed after failures on several machines.
   bool is_backing_off(const std::string& job) const { return job_backoff_.is_backing_off(job); }
   // Returns and clears the last worker that sent a heartbeat without belonging to any partition.
-  std::optional<wire::UnassignedMachine> pop_unassigned_machine() {
+  std::optional<wire::UnassignedMachine> extract_unassigned_machine() {
     return heartbeat_endpoint_.extract_unassigned_machine();
   }
 
--- a/src/rooksill/runtime/commands.h
+++ b/src/rooksill/runtime/commands.h
@@ -30,7 +30,8 @@
   std::string bytes;  // a packed wire::Envelope
 };
 
-// A connection to another controller ended or was refused.
+// An established connection to another controller ended. A refused attempt to connect is not
+// reported.
 struct PeerDisconnected {
   std::string label;  // of the other controller
 };
@@ -46,8 +47,8 @@
   // Seconds of the monotonic clock. All timeouts, intervals and leases are measured by it. Its
   // epoch is arbitrary, so values of different processes cannot be compared.
   double steady = 0;
-  // Seconds since the Unix epoch, with an error of at most `PlatformSettings::clock_error_s`. Only
-  // for times that are stored or shared: of submission, rental and termination.
+  // Seconds since the Unix epoch, with an error of at most `PlatformSettings::max_clock_error_s`.
+  // Only for times that are stored or shared: of submission, rental and termination.
   double wall = 0;
 };
 
--- a/src/rooksill/runtime/context.h
+++ b/src/rooksill/runtime/context.h
@@ -23,7 +23,8 @@
 // numbers in any other way.
 class Context {
  public:
-  // Keeps a reference to `process_settings`, which must outlive it.
+  // Keeps a reference to `process_settings`, which must outlive the context. `seed` initializes the
+  // random number generator.
   Context(const Settings& process_settings, uint64_t seed)
       : settings(process_settings), rng(seed), incarnation((rng() >> 1) | 1) {}
 
@@ -76,8 +77,8 @@
   Effects& effects() { return effects_; }
 
   const Settings& settings;
-  Time now;  // of the present batch
-  std::mt19937_64 rng;
+  Time now;             // of the present batch
+  std::mt19937_64 rng;  // the only source of random numbers
   // Distinguishes the processes that run as the same controller; grows with each start.
   uint64_t incarnation;
   // When this process last resumed after a pause, in steady seconds.
--- a/src/rooksill/runtime/effects.h
+++ b/src/rooksill/runtime/effects.h
@@ -52,6 +52,7 @@
   std::vector<PeerSend> peer_messages;
   std::vector<LogLine> log;
 
+  // Removes all effects.
   void clear() {
     calls.clear();
     replies.clear();
