--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -188,7 +188,7 @@
     machine_statuses_.derive_from_store();
   fleet_.sample_demand();
   leader_.tick(machine_statuses_.statuses());
-  for (const auto& [machine, address] : fleet_.pop_addresses())
+  for (const auto& [machine, address] : fleet_.extract_addresses())
     owner_.record_address(machine, address);
 }
 
