--- a/src/rooksill/agent/heartbeat_endpoint.cc
+++ b/src/rooksill/agent/heartbeat_endpoint.cc
@@ -65,7 +65,7 @@
   // Starts are sent as direct commands only: a delayed heartbeat response could start a task that
   // has been moved meanwhile.
   worker.was_sent_all_commands = remove_starts(commands) == 0;
-  context_.reply(request, 200, wire::encode_heartbeat_answer(worker.tokens.current, commands));
+  context_.reply(request, 200, wire::encode_heartbeat_response(worker.tokens.current, commands));
 }
 
 void HeartbeatEndpoint::accept_periodic_heartbeat(Worker& worker,
--- a/src/rooksill/api/poll_queue.cc
+++ b/src/rooksill/api/poll_queue.cc
@@ -9,8 +9,8 @@
 namespace rooksill::api {
 
 namespace {
-constexpr double kStoreRequestRatio =
-    0.15;  // of this controller's share of the store's request rate
+// The fraction of this controller's share of the store's request rate that polls may use.
+constexpr double kStoreRequestRatio = 0.15;
 // Limits on the polls in one check and on the queued polls, per operation that the store allows in
 // a transaction. Several polls of the same job need one operation.
 constexpr size_t kMaxPollsPerTransactionOp = 4;
--- a/src/rooksill/api/submission_queue.cc
+++ b/src/rooksill/api/submission_queue.cc
@@ -15,9 +15,10 @@
 
 namespace {
 
-constexpr double kStoreRequestRatio =
-    0.2;                                // of this controller's share of the store's request rate
-constexpr double kMaxQueueLengthS = 2;  // queue limit, as time to write it at the store's rate
+// The fraction of this controller's share of the store's request rate that submissions may use.
+constexpr double kStoreRequestRatio = 0.2;
+// Limit on the queue, as the time to write it at the store's write rate.
+constexpr double kMaxQueueLengthS = 2;
 constexpr size_t kMaxTransactionBytes = size_t{48} * 1024;
 constexpr size_t kPerValueOverheadBytes = 200;  // in a transaction: key, precondition and so on
 
--- a/src/rooksill/api/transaction_pacer.h
+++ b/src/rooksill/api/transaction_pacer.h
@@ -10,11 +10,12 @@
 // after which a user's poll times out.
 inline constexpr double kMaxQueueingS = 1.5;
 
-// Spaces out the transactions for one kind of request, so that they use no more than a fixed ratio
-// of the store's rate limit, and limits how many are pending. Times are steady seconds.
+// Spaces out the transactions for one kind of request, so that they use no more than a fixed
+// fraction of the store's request rate, and limits how many are pending. Times are steady seconds.
 class TransactionPacer {
  public:
-  // `request_ratio`: the ratio of this controller's requests to the store that may be used, 0 to 1.
+  // `request_ratio`: the fraction of this controller's share of the store's request rate that the
+  // transactions may use, 0 to 1.
   TransactionPacer(const PlatformSettings& platform, double request_ratio)
       : interval_s_(platform.controller_count / (request_ratio * platform.store_requests_per_s)) {}
 
--- a/src/rooksill/api/user_requests.cc
+++ b/src/rooksill/api/user_requests.cc
@@ -14,8 +14,8 @@
 constexpr std::string_view kJobPrefix = "/api/jobs/";
 constexpr std::string_view kCancelSuffix = "/cancel";
 
-// Ratio of this controller's writes per second that is reserved for queued submissions. They have
-// the lowest priority and would be starved otherwise.
+// Fraction of this controller's writes per second that is reserved for queued submissions. They
+// have the lowest priority and would be starved otherwise.
 constexpr double kReservedWriteRatio = 0.3;
 }  // namespace
 
--- a/src/rooksill/controller/controller.cc
+++ b/src/rooksill/controller/controller.cc
@@ -25,9 +25,9 @@
 constexpr double kStoreStatusesPerReport = 4;
 
 // In worker report intervals (report_s).
-// How much later than this controller's last answer from the store a peer must have received one to
-// count as better connected.
-constexpr double kMinAnswerLagReports = 0.2;
+// How much later than this controller's last response from the store a peer must have received one
+// to count as better connected.
+constexpr double kMinResponseLagReports = 0.2;
 // A longer gap between two batches means that the process was paused.
 constexpr double kPauseThresholdReports = 0.3;
 
@@ -40,7 +40,7 @@
   return milliseconds << kIncarnationRandomBits | (random_bits & mask);
 }
 
-// Returns a function that calls the state service by queueing an HTTP call as an effect.
+// Returns a function that calls the key-value store by queueing an HTTP call as an effect.
 store::CallFn call_store_through(runtime::Context& context) {
   return [&context](std::string method, std::string path, std::string body, double timeout_s,
                     runtime::CallHandler handler) {
@@ -136,8 +136,8 @@
         handle_request(*request);
     } else if (const auto* message = std::get_if<runtime::PeerMessage>(&command)) {
       handle_peer_message(*message);
-    } else if (const auto* peer_lost = std::get_if<runtime::PeerDisconnected>(&command)) {
-      handle_peer_lost(*peer_lost);
+    } else if (const auto* disconnect = std::get_if<runtime::PeerDisconnected>(&command)) {
+      handle_peer_disconnect(*disconnect);
     }
   }
   for (const runtime::Request* request : user_requests) handle_request(*request);
@@ -250,24 +250,24 @@
 // Returns whether the store does not answer this controller while it answers a ready peer, which
 // can therefore serve users better. During a store outage no controller gets answers, and reporting
 // "not ready" would only keep this one out of the load balancer until its health checks pass again.
-// Therefore the peer's last answer must be later than this controller's by a margin.
+// Therefore the last response that the peer received must be later than this controller's by a
+// margin.
 bool Controller::has_better_connected_peer() const {
   const PlatformSettings& platform = context_.settings.platform;
-  const double min_peer_answer_time =
-      client_.failing_since() + kMinAnswerLagReports * platform.report_s;
+  const double min_peer_response_time =
+      client_.failing_since() + kMinResponseLagReports * platform.report_s;
   return std::any_of(platform.peers.begin(), platform.peers.end(), [&](const PeerAddress& address) {
     const membership::Peer* peer = peers_.find(address.label);
     return peer != nullptr && peers_.is_alive(address.label) && peer->heartbeat.is_ready &&
-           peer->last_received_at - peer->heartbeat.store_answer_age_s > min_peer_answer_time;
+           peer->last_received_at - peer->heartbeat.store_response_age_s > min_peer_response_time;
   });
 }
 
-// ---- Messages from other controllers
-// --------------------------------------------------------------
+// ---- Messages from other controllers ------------------------------------------------------------
 
-void Controller::handle_peer_lost(const runtime::PeerDisconnected& peer_lost) {
-  peers_.handle_connection_loss(peer_lost.label);
-  status_publisher_.on_connection_lost(peer_lost.label);
+void Controller::handle_peer_disconnect(const runtime::PeerDisconnected& disconnect) {
+  peers_.handle_connection_loss(disconnect.label);
+  status_publisher_.handle_connection_loss(disconnect.label);
 }
 
 void Controller::handle_peer_message(const runtime::PeerMessage& message) {
--- a/src/rooksill/controller/controller.h
+++ b/src/rooksill/controller/controller.h
@@ -63,7 +63,7 @@
   void handle_commands(const std::vector<runtime::Command>& batch);
   void handle_request(const runtime::Request& request);
   void reply_readiness(const runtime::Request& request);
-  void handle_peer_lost(const runtime::PeerDisconnected& peer_lost);
+  void handle_peer_disconnect(const runtime::PeerDisconnected& disconnect);
   void handle_peer_message(const runtime::PeerMessage& message);
   // Unpacks the envelope's payload and calls handle_message() with the sender's label. Drops
   // malformed messages.
--- a/src/rooksill/controller/heartbeat_sender.cc
+++ b/src/rooksill/controller/heartbeat_sender.cc
@@ -23,7 +23,7 @@
   wire::ControllerHeartbeat heartbeat;
   heartbeat.is_ready = replica_.synced;
   heartbeat.is_store_available = is_store_responding();
-  heartbeat.store_answer_age_s = context_.now.steady - client_.last_response_at();
+  heartbeat.store_response_age_s = context_.now.steady - client_.last_response_at();
   heartbeat.suspects_itself = owner_.suspects_own_isolation();
   heartbeat.term = leader_.term();
   heartbeat.addresses = owner_.collect_address_updates();
--- a/src/rooksill/controller/heartbeat_sender.h
+++ b/src/rooksill/controller/heartbeat_sender.h
@@ -33,7 +33,7 @@
   // Broadcasts a heartbeat to all other controllers over their connections.
   void send_heartbeat();
   // Writes a liveness record into the store if some controller cannot be reached over its
-  // connection, at most once per Peers::liveness_interval().
+  // connection, at most once per Peers::liveness_record_interval_s().
   void write_liveness_record();
 
  private:
--- a/src/rooksill/controller/machine_status_publisher.cc
+++ b/src/rooksill/controller/machine_status_publisher.cc
@@ -21,7 +21,7 @@
     send(leader.label, std::move(statuses));
 }
 
-void MachineStatusPublisher::on_connection_lost(const std::string& label) {
+void MachineStatusPublisher::handle_connection_loss(const std::string& label) {
   if (label == published_to_.label) published_to_ = {};
 }
 
--- a/src/rooksill/controller/machine_status_publisher.h
+++ b/src/rooksill/controller/machine_status_publisher.h
@@ -28,7 +28,7 @@
   void publish();
   // Handles the loss of the connection to the controller `label`. If it is the leader, messages to
   // it may have been lost, so all statuses are sent again.
-  void on_connection_lost(const std::string& label);
+  void handle_connection_loss(const std::string& label);
 
  private:
   // Sends the statuses to the controller `leader`, split into messages of limited size.
--- a/src/rooksill/controller/process.cc
+++ b/src/rooksill/controller/process.cc
@@ -84,9 +84,9 @@
   void run() { ev_run(loop_.get(), 0); }
 
  private:
-  // Returns the number of sockets in `share`, one of the constants in runtime/socket_budget.h.
-  static size_t socket_limit(const Settings& settings, double share) {
-    return static_cast<size_t>(share * settings.platform.max_sockets);
+  // Returns the number of sockets for `ratio`, one of the constants in runtime/socket_budget.h.
+  static size_t socket_limit(const Settings& settings, double ratio) {
+    return static_cast<size_t>(ratio * settings.platform.max_sockets);
   }
   // Mixes in the controller's label, so that two processes that start at the same time do not use
   // the same random sequence.
--- a/src/rooksill/net/http_client.cc
+++ b/src/rooksill/net/http_client.cc
@@ -45,7 +45,7 @@
     idle.pop_back();
     return start_call(*connections_.at(id), call);
   }
-  // The limit applies to worker calls only: the state service and the cloud need few connections
+  // The limit applies to worker calls only: the store and the cloud need few connections
   // and always get them.
   if (call.target == runtime::Target::kWorker && connections_.size() >= max_connections_ &&
       !close_oldest_idle())
--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP client for calls to the state service, the cloud and workers over persistent connections.
+// HTTP client for calls to the key-value store, the cloud and workers over persistent connections.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,16 @@
 
 namespace rooksill::net {
 
-// Makes asynchronous HTTP calls in an event loop. Each connection carries one call at a time; idle
-// connections are kept for further calls to the same address.
+// Makes asynchronous HTTP calls in an event loop, without retries. Each connection carries one call
+// at a time; idle connections are kept for further calls to the same address.
 class HttpClient {
  public:
   // Receives the outcome of each call exactly once, possibly before call() returns.
   using CallDoneHandler = std::function<void(runtime::CallDone)>;
 
   // Creates a client that runs in `loop`, which must outlive it. `max_connections` limits the
-  // connections to workers: a worker call that would need another one fails as refused.
+  // connections, but only for worker calls: one that would need a further connection fails as
+  // refused. Calls to the store and the cloud may exceed the limit.
   HttpClient(struct ev_loop* loop, size_t max_connections, CallDoneHandler on_call_done);
   ~HttpClient();
   // Starts a call. Its outcome, also a failure or timeout, is passed to the handler.
--- a/src/rooksill/net/http_parser.h
+++ b/src/rooksill/net/http_parser.h
@@ -21,6 +21,7 @@
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
+  // kNeedMore: the message is incomplete; kDone: it is complete; kError: the input is invalid.
   enum class State { kNeedMore, kDone, kError };
 
   // Creates a parser with size limits. The head is everything before the body, including the start
@@ -64,10 +65,10 @@
   Phase phase_ = Phase::kHead;
   std::string head_, line_;
   HttpMessage message_;
-  // `remaining_bytes_`: of the body, or of the current chunk.
-  size_t remaining_bytes_ = 0, trailer_bytes_ = 0;
+  size_t remaining_bytes_ = 0;  // of the body, or of the current chunk
+  size_t trailer_bytes_ = 0;    // read so far
   bool is_chunked_ = false, has_content_length_ = false;
-  int error_status_ = 400;
+  int error_status_ = 400;  // HTTP status; valid after kError
 };
 
 }  // namespace rooksill::net
--- a/src/rooksill/net/http_server.h
+++ b/src/rooksill/net/http_server.h
@@ -20,9 +20,9 @@
   // Receives a request and the identifier to reply() to.
   using RequestHandler = std::function<void(uint64_t, HttpMessage)>;
 
-  // Listens on `address` ("host:port", the host as an IP address). `loop` must outlive the server.
-  // When `max_connections` are open, a new connection replaces the one that has been idle longest,
-  // or is closed if none is idle. Throws std::runtime_error if it cannot listen.
+  // Listens on `address` ("host:port", the host as an IPv4 address). `loop` must outlive the
+  // server. When `max_connections` are open, a new connection replaces the one that has been idle
+  // longest, or is closed if none is idle. Throws std::runtime_error if it cannot listen.
   HttpServer(struct ev_loop* loop, const std::string& address, size_t max_connections,
              RequestHandler handler);
   ~HttpServer();
--- a/src/rooksill/net/peer_net.cc
+++ b/src/rooksill/net/peer_net.cc
@@ -33,11 +33,11 @@
   std::unique_ptr<IoWatcher> watcher;
 };
 
-PeerNet::PeerNet(struct ev_loop* loop, const PlatformSettings& settings, OnMessage on_message,
-                 OnLost on_lost)
+PeerNet::PeerNet(struct ev_loop* loop, const PlatformSettings& settings, MessageHandler on_message,
+                 DisconnectHandler on_disconnect)
     : loop_(loop),
       on_message_(std::move(on_message)),
-      on_lost_(std::move(on_lost)),
+      on_disconnect_(std::move(on_disconnect)),
       listener_(listen_on(settings.peer_address)) {
   accept_watcher_ = std::make_unique<IoWatcher>(loop_, listener_.fd(), EV_READ,
                                                 [this](int) { accept_connections(); });
@@ -84,7 +84,7 @@
   connection.is_connected = false;
   connection.send_buffer.clear();
   connection.bytes_sent = 0;
-  if (was_connected) on_lost_(connection.label);
+  if (was_connected) on_disconnect_(connection.label);
 }
 
 void PeerNet::on_outgoing_io(OutgoingConnection& connection, int events) {
--- a/src/rooksill/net/peer_net.h
+++ b/src/rooksill/net/peer_net.h
@@ -1,5 +1,6 @@
-// Message transport between controllers. A frame is a length of four bytes (big-endian) followed by
-// a msgpack message. Each controller of a pair opens one connection, on which it only sends.
+// Message transport between controllers. A frame is a length in bytes (four bytes, big-endian)
+// followed by a msgpack message. Each controller of a pair opens one connection, on which it only
+// sends.
 #pragma once
 
 #include <cstdint>
@@ -19,17 +20,17 @@
 class PeerNet {
  public:
   // Receives the content of each incoming frame.
-  using OnMessage = std::function<void(std::string bytes)>;
+  using MessageHandler = std::function<void(std::string bytes)>;
   // Is called with a controller's label when the established connection to it ends.
-  using OnLost = std::function<void(std::string label)>;
+  using DisconnectHandler = std::function<void(std::string label)>;
 
-  // Listens on settings.back_address and starts connecting to settings.peers. `loop` must outlive
+  // Listens on settings.peer_address and starts connecting to settings.peers. `loop` must outlive
   // the object. Throws std::runtime_error if it cannot listen.
-  PeerNet(struct ev_loop* loop, const PlatformSettings& settings, OnMessage on_message,
-          OnLost on_lost);
+  PeerNet(struct ev_loop* loop, const PlatformSettings& settings, MessageHandler on_message,
+          DisconnectHandler on_disconnect);
   ~PeerNet();
   // Sends a message to the controller `label`. Drops it if there is no connection or it exceeds the
-  // frame limit; closes the connection if too much unsent data is queued.
+  // maximum frame size; closes the connection if too much unsent data is queued.
   void send(const std::string& label, const std::string& bytes);
 
  private:
@@ -45,8 +46,8 @@
   void on_incoming_io(uint64_t id);
 
   struct ev_loop* loop_;
-  OnMessage on_message_;
-  OnLost on_lost_;
+  MessageHandler on_message_;
+  DisconnectHandler on_disconnect_;
   Socket listener_;
   std::unique_ptr<IoWatcher> accept_watcher_;
   std::map<std::string, std::unique_ptr<OutgoingConnection>> outgoing_;
--- a/src/rooksill/settings/operators.cc
+++ b/src/rooksill/settings/operators.cc
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-OperatorSettings parse_operator_settings(const std::string& source) {
-  const json root = json::parse(source, nullptr, false);
+OperatorSettings parse_operator_settings(const std::string& text) {
+  const json root = json::parse(text, nullptr, false);
   if (root.is_discarded())
     throw SettingsError(SettingsError::Reason::kMalformed, kWholeFile, "not valid JSON");
   check_schema(root);
--- a/src/rooksill/settings/platform.cc
+++ b/src/rooksill/settings/platform.cc
@@ -200,8 +200,8 @@
   return content.str();
 }
 
-PlatformSettings parse_platform_settings(const std::string& source) {
-  const json root = json::parse(source, nullptr, false);
+PlatformSettings parse_platform_settings(const std::string& text) {
+  const json root = json::parse(text, nullptr, false);
   if (!root.is_object()) throw SettingsError(Reason::kMalformed, "settings", "not a JSON object");
   PlatformSettings settings;
   settings.label = read_text(root, "label", "");
--- a/src/rooksill/settings/settings.h
+++ b/src/rooksill/settings/settings.h
@@ -14,7 +14,7 @@
 // The address of another controller of the cluster.
 struct PeerAddress {
   std::string label;
-  std::string endpoint;  // host:port
+  std::string endpoint;  // host:port to which this controller connects
 };
 
 // The guaranteed and maximum resources of a team. 0: no guarantee or no limit.
@@ -59,10 +59,10 @@
 
   // Workers.
   double report_s = 3;            // interval of their heartbeats
-  double lease_s = 30;            // time for which they keep tasks without a response
+  double lease_s = 30;            // how long they keep tasks running without a response
   double cancel_deadline_s = 60;  // time by which all tasks of a cancelled job must be gone
   // Gangs. 0: the platform does not run gangs.
-  double gang_wait_timeout_s = 0;   // for which a task waits for the other tasks of its gang
+  double gang_wait_timeout_s = 0;   // how long a task waits for the other tasks of its gang
   double gang_stop_deadline_s = 0;  // time by which all tasks of a gang must receive a stop command
 
   // The key-value store. The rates are for all controllers together.
--- a/src/rooksill/store/client.cc
+++ b/src/rooksill/store/client.cc
@@ -91,7 +91,7 @@
   }
   // Other controllers have exceeded their share or the store is overloaded: back off.
   if (response.status == kTooManyRequests || response.status == kUnavailable) write_limit_.drain();
-  return wire::decode_transaction_answer(response.status, response.body);
+  return wire::decode_transaction_response(response.status, response.body);
 }
 
 }  // namespace rooksill::store
--- a/src/rooksill/wire/cloud_codec.cc
+++ b/src/rooksill/wire/cloud_codec.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Decodes a body that holds a JSON object with `read`.
+// Parses a body as a JSON object and returns the result of `read` for it.
 template <typename Read>
 auto decode_body(const std::string& body, Read read) {
   return decode_with(Interface::kCloud, [&] { return read(parse_object(body)); });
--- a/src/rooksill/wire/cloud_codec.h
+++ b/src/rooksill/wire/cloud_codec.h
@@ -43,7 +43,7 @@
 Decoded<std::vector<model::MachineType>> parse_catalog(const std::string& body);
 // Decodes a page of the list of rented machines.
 Decoded<MachineListPage> parse_machine_list(const std::string& body);
-// Decodes the answer to a rental request: the names of the rented machines.
+// Decodes the response to a rental request: the names of the rented machines.
 Decoded<std::vector<std::string>> parse_rented_names(const std::string& body);
 
 // Returns the body of a rental request. `request_id` is an idempotency key: the provider answers a
--- a/src/rooksill/wire/controller_messages.h
+++ b/src/rooksill/wire/controller_messages.h
@@ -101,14 +101,14 @@
   uint64_t term = 0;                           // the term in which it leads; 0: it does not lead
   std::vector<MachineAddress> addresses;       // recently learned ones and a rotating subset
   std::vector<std::string> unreachable_zones;  // zones whose machines it cannot reach
-  double store_answer_age_s = 1e9;             // time since the store last answered it
+  double store_response_age_s = 1e9;           // time since the last response of the store to it
   double sent_at = -1e9;                       // by the sender's steady clock
   uint64_t cancellation_count = 0;             // cancellations that it has learned of, in total
   // Senders of an older version leave this empty; their heartbeats acknowledge no cancellation.
   std::vector<CancellationAck> cancellation_acks;
   std::vector<QuotaUse> quota_use;  // of teams with a limit, in the partitions that it owns
   MSGPACK_DEFINE_ARRAY(is_ready, is_store_available, suspects_itself, term, addresses,
-                       unreachable_zones, store_answer_age_s, sent_at, cancellation_count,
+                       unreachable_zones, store_response_age_s, sent_at, cancellation_count,
                        cancellation_acks, quota_use)
 };
 
--- a/src/rooksill/wire/store_protocol_codec.cc
+++ b/src/rooksill/wire/store_protocol_codec.cc
@@ -13,7 +13,7 @@
 constexpr int kOk = 200, kBadRequest = 400, kConflictStatus = 409, kTooManyRequests = 429,
               kUnavailable = 503;
 
-// Decodes a body that holds a JSON object with `read`.
+// Parses a body as a JSON object and returns the result of `read` for it.
 template <typename Read>
 auto decode_body(const std::string& body, Read read) {
   return decode_with(Interface::kStoreProtocol, [&] { return read(parse_object(body)); });
@@ -64,21 +64,21 @@
   return page;
 }
 
-WatchAnswer read_watch(json object) {
-  WatchAnswer answer;
-  answer.revision = required_revision(object, "epoch");
+WatchResponse read_watch(json object) {
+  WatchResponse response;
+  response.revision = required_revision(object, "epoch");
   const auto news = object.find("news");
-  if (news == object.end() || !news->is_array()) return answer;
+  if (news == object.end() || !news->is_array()) return response;
   for (auto& entry : *news) {
     if (is_put(entry)) {
       StoreItem item{entry["put"].get<std::string>(), std::move(entry["v"]), entry_revision(entry)};
-      answer.changes.push_back({StoreChange::Kind::kPut, std::move(item)});
+      response.changes.push_back({StoreChange::Kind::kPut, std::move(item)});
     } else if (is_delete(entry)) {
       StoreItem item{entry["delete"].get<std::string>(), nullptr, entry_revision(entry)};
-      answer.changes.push_back({StoreChange::Kind::kDelete, std::move(item)});
+      response.changes.push_back({StoreChange::Kind::kDelete, std::move(item)});
     }
   }
-  return answer;
+  return response;
 }
 
 Decoded<model::Revision> decode_applied(const std::string& body) {
@@ -111,7 +111,7 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-TransactionResult decode_transaction_answer(int status, const std::string& body) {
+TransactionResult decode_transaction_response(int status, const std::string& body) {
   TransactionResult result;
   if (status == kTooManyRequests || status == kUnavailable) {
     result.outcome = TransactionOutcome::kRefused;
@@ -158,7 +158,9 @@
          "&hold_ms=" + std::to_string(static_cast<int>(timeout_s * 1000));
 }
 
-Decoded<WatchAnswer> decode_watch(const std::string& body) { return decode_body(body, read_watch); }
+Decoded<WatchResponse> decode_watch(const std::string& body) {
+  return decode_body(body, read_watch);
+}
 
 // ---- leases ---------------------------------------------------------------------------------
 
--- a/src/rooksill/wire/store_protocol_codec.h
+++ b/src/rooksill/wire/store_protocol_codec.h
@@ -61,7 +61,7 @@
                                std::vector<Write> writes);
 // Decodes the response to a transaction, for any HTTP status. The outcome is kUnknown if the
 // response cannot be decoded.
-TransactionResult decode_transaction_answer(int status, const std::string& body);
+TransactionResult decode_transaction_response(int status, const std::string& body);
 
 // ---- reads, lists, watches ------------------------------------------------------------------
 
@@ -100,7 +100,7 @@
 };
 
 // The response to a watch request.
-struct WatchAnswer {
+struct WatchResponse {
   std::vector<StoreChange> changes;  // in the order in which they were made
   model::Revision revision;          // all changes up to this revision have now been reported
 };
@@ -109,7 +109,7 @@
 // store waits up to `timeout_s` for the first change (long polling).
 std::string watch_path(const std::string& prefix, model::Revision from, double timeout_s);
 // Decodes the response to a watch request. Malformed changes are skipped.
-Decoded<WatchAnswer> decode_watch(const std::string& body);
+Decoded<WatchResponse> decode_watch(const std::string& body);
 
 // ---- leases ---------------------------------------------------------------------------------
 
--- a/src/rooksill/wire/worker_codec.cc
+++ b/src/rooksill/wire/worker_codec.cc
@@ -100,8 +100,8 @@
   return decode_with(Interface::kWorker, [&] { return read_heartbeat(parse_object(body)); });
 }
 
-std::string encode_heartbeat_answer(model::FencingToken fencing_token,
-                                    const std::vector<WorkerCommand>& commands) {
+std::string encode_heartbeat_response(model::FencingToken fencing_token,
+                                      const std::vector<WorkerCommand>& commands) {
   return json{{"baton", fencing_token}, {"orders", encode_command_list(commands)}}.dump();
 }
 
--- a/src/rooksill/wire/worker_codec.h
+++ b/src/rooksill/wire/worker_codec.h
@@ -85,8 +85,8 @@
 Decoded<WorkerHeartbeat> parse_heartbeat(const std::string& body);
 
 // Returns the response to a heartbeat.
-std::string encode_heartbeat_answer(model::FencingToken fencing_token,
-                                    const std::vector<WorkerCommand>& commands);
+std::string encode_heartbeat_response(model::FencingToken fencing_token,
+                                      const std::vector<WorkerCommand>& commands);
 // Returns the body of a command request. A worker in another agent epoch rejects it.
 std::string encode_commands(model::FencingToken fencing_token, uint64_t agent_epoch,
                             const std::vector<WorkerCommand>& commands);
