--- a/src/rooksill/net/http_client.h
+++ b/src/rooksill/net/http_client.h
@@ -25,8 +25,9 @@
   using CallDoneHandler = std::function<void(runtime::CallDone)>;
 
   // Creates a client that runs in `loop`, which must outlive it. `max_connections` limits the
-  // connections, but only for worker calls: one that would need a further connection fails as
-  // refused. Calls to the store and the cloud may exceed the limit.
+  // connections, but only for worker calls: one that would need a further connection replaces the
+  // one that has been idle longest, or fails as refused if none is idle. Calls to the store and the
+  // cloud may exceed the limit, as they need few connections.
   HttpClient(struct ev_loop* loop, size_t max_connections, CallDoneHandler on_call_done);
   ~HttpClient();
   // Starts a call. Its outcome, also a failure or timeout, is passed to the handler.
