--- a/src/rooksill/changes/shard_transaction_builder.cc
+++ b/src/rooksill/changes/shard_transaction_builder.cc
@@ -10,8 +10,10 @@
 
 namespace {
 
-constexpr size_t kPreconditionsPerWrite = 4;  // limit, relative to that of writes per transaction
-constexpr size_t kWriteOverheadBytes = 200;   // per write with its preconditions, besides the value
+// A transaction may have this many times as many preconditions as the store's limit of writes.
+constexpr size_t kPreconditionsPerWrite = 4;
+// Estimated size of a write without its value, including its preconditions.
+constexpr size_t kWriteOverheadBytes = 200;
 
 const char* counter_name(TaskChange::Kind kind) {
   switch (kind) {
--- a/src/rooksill/changes/task_change_queue.h
+++ b/src/rooksill/changes/task_change_queue.h
@@ -47,10 +47,11 @@
   bool is_pending(const model::TaskRef& task) const { return find(task) != nullptr; }
   // Returns all changes of a shard that are not in the store yet; nullptr if there are none.
   const ShardChanges* find_shard(const model::ShardId& id) const;
-  // Returns whether a placement in the shard would be written soon if it were queued now. A queued
-  // placement reserves its capacity. When few writes are allowed, only as many placements are
-  // decided as can be written soon, so that capacity is left for changes of a higher rank and each
-  // write uses all the capacity that has become free by then.
+  // Returns whether a placement in the shard would be written soon if it were queued now: few
+  // shards are to be written before it, or the shard is to be written anyway. A queued placement
+  // reserves its capacity. When few writes are allowed, only as many placements are decided as can
+  // be written soon, so that capacity is left for changes of a higher rank and each write uses all
+  // the capacity that has become free by then.
   bool can_queue_placement(const model::Job& job, uint32_t shard) const;
   // Returns the number of shards that have changes to be sent.
   size_t pending_shard_count() const { return write_order_.size(); }
--- a/src/rooksill/changes/write_rank.h
+++ b/src/rooksill/changes/write_rank.h
@@ -21,8 +21,8 @@
 // Returns the rank of placements and losses of the job's tasks.
 WriteRank decision_rank(const model::JobSpec& spec);
 
-// Returns the ratio of the store's limits that changes of this rank leave to those that rank before
-// them.
+// Returns the fraction of the store's limits that changes of this rank leave unused for changes
+// that rank before them.
 double reserved_ratio(WriteRank rank);
 
 // Returns the name of the counter for shards written with this rank.
--- a/src/rooksill/model/job.h
+++ b/src/rooksill/model/job.h
@@ -70,7 +70,7 @@
 struct TaskState {
   std::string machine;   // the machine it is placed on; empty: none
   uint64_t attempt = 0;  // number of the current or last attempt, from 1; 0: never placed
-  bool done = false;
+  bool done = false;     // completed; it will not be placed again
   bool operator==(const TaskState&) const = default;
 };
 
--- a/src/rooksill/placement/feasibility.cc
+++ b/src/rooksill/placement/feasibility.cc
@@ -7,11 +7,11 @@
 namespace rooksill::placement {
 
 namespace {
-// Ratio of an ordinary (non-spot) machine's CPUs that jobs which may use spot machines leave free
-// for jobs which may not.
+// The fraction of an ordinary (non-spot) machine's CPUs that jobs which may use spot machines leave
+// free for jobs which may not.
 constexpr double kOrdinaryHeadroomRatio = 0.1;
-// Jobs leave no headroom if they can save a checkpoint and exit within this ratio of the shortest
-// waiting time among the objectives.
+// Jobs leave no headroom if they can save a checkpoint and exit within this fraction of the
+// shortest waiting time among the objectives.
 constexpr double kMaxSaveTimeRatio = 0.75;
 constexpr double kMaxSlots = 1e6;  // per machine and job
 }  // namespace
--- a/src/rooksill/placement/machine_capacity.h
+++ b/src/rooksill/placement/machine_capacity.h
@@ -21,10 +21,10 @@
   int partition = 0;
   bool is_spot = false;
   std::string zone;
-  model::Resources free;
+  model::Resources free;  // not used by any task
   // Resources of evicted tasks that still run. They are not part of `free`.
   model::Resources evicting;
-  uint32_t tasks = 0;                // that count as running on the machine
+  uint32_t tasks = 0;                // number of tasks that count as running on the machine
   std::vector<int> cached_images;    // by the images' numbers in this process
   std::vector<int> fetching_images;  // needed by tasks on the machine and not in its cache yet
   // CPUs of the tasks that preemption may evict, by their priority.
--- a/src/rooksill/placement/preemption.cc
+++ b/src/rooksill/placement/preemption.cc
@@ -8,11 +8,12 @@
 
 namespace {
 constexpr int kMaxPreemptedMachinesPerPass = 64;
-// The eviction budget accrues by this much for each write that the store allows, and keeps at most
-// this many seconds of it.
+// The eviction budget grows by this amount for each write that the store's rate limit allows.
 constexpr double kEvictionsPerWrite = 0.5;
-constexpr double kMaxAccrualSeconds = 2;
-// Cost of one eviction by the priority of the job that it makes room for, in units of the budget.
+// The budget holds at most what accrues in this time.
+constexpr double kMaxAccrualS = 2;
+// Cost of one eviction in units of the budget; depends on the priority of the job for which the
+// capacity is freed.
 constexpr double kUrgentEvictionCost = 1;
 constexpr double kNonUrgentEvictionCost = 5;
 // Added to a machine's cost, in CPUs, if tasks above idle priority have to be evicted there.
@@ -28,8 +29,8 @@
 
 void EvictionBudget::refill(double writes_per_s, double now_s) {
   const double rate = kEvictionsPerWrite * writes_per_s;
-  remaining_ = std::min(kMaxAccrualSeconds * rate,
-                        remaining_ + rate * std::max(0.0, now_s - refilled_at_s_));
+  remaining_ =
+      std::min(kMaxAccrualS * rate, remaining_ + rate * std::max(0.0, now_s - refilled_at_s_));
   refilled_at_s_ = now_s;
 }
 
@@ -94,7 +95,8 @@
   }
 }
 
-// Ranks machines first where few CPUs have to be evicted, and only tasks of the lowest priority.
+// Returns the machines where evictions can free enough capacity for a task, best first: those where
+// few CPUs have to be freed, and where evicting tasks of the lowest priority is enough.
 std::vector<PreemptionPlanner::Candidate> PreemptionPlanner::rank_candidates(
     const PreemptionDemand& demand) const {
   const model::JobSpec& spec = demand.job->spec;
@@ -120,8 +122,8 @@
   return candidates;
 }
 
-// Evicts as few tasks as needed, the lowest priorities first, for one task of the demand after the
-// other.
+// Plans evictions on the machine for one task of the demand after the other. For each, it evicts as
+// few tasks as needed, those of the lowest priority first.
 void PreemptionPlanner::evict_on(size_t machine_index, PreemptionDemand& demand,
                                  PreemptionPlan& plan) {
   const model::JobSpec& spec = demand.job->spec;
--- a/src/rooksill/placement/preemption.h
+++ b/src/rooksill/placement/preemption.h
@@ -19,7 +19,8 @@
 // the steady clock.
 class EvictionBudget {
  public:
-  // Adds what has accrued since the last call, up to a limit.
+  // Adds the budget that has accrued since the last call, up to a limit. `writes_per_s` is this
+  // controller's share of the store's write limit.
   void refill(double writes_per_s, double now_s);
   // Returns whether the budget covers an eviction of this cost.
   bool can_afford(double cost) const { return remaining_ >= cost; }
@@ -47,7 +48,7 @@
 // Tasks that need capacity, and the limits on where it may be freed.
 struct PreemptionDemand {
   const model::Job* job = nullptr;
-  uint32_t tasks = 0;
+  uint32_t tasks = 0;  // number of tasks without capacity
   ZoneLimits zones;
   bool requires_cached_image = false;  // only machines that have the job's image
   // Returns whether the team's quota allows one more task in the partition.
@@ -77,7 +78,7 @@
   PreemptionPlanner(const Machines& machines, const Feasibility& feasibility,
                     EvictionBudget& budget, ListPreemptible list_preemptible);
 
-  // Returns whether the limit of machines to preempt in one pass is reached.
+  // Returns whether evictions have been planned on the maximum number of machines for one pass.
   bool is_exhausted() const;
   // Reserves capacity for the demand: first what evicted tasks are about to free and is not
   // reserved yet, then what new evictions free.
--- a/src/rooksill/placement/ranking.cc
+++ b/src/rooksill/placement/ranking.cc
@@ -6,15 +6,15 @@
 namespace rooksill::placement {
 
 namespace {
-constexpr double kMinFetchGbPerSecond = 0.01;  // limits the wait if the catalogue has no fetch rate
+constexpr double kMinFetchGbPerSecond = 0.01;  // limits the wait if the catalog has no fetch rate
 // Weights of the terms of a score, which is lower for better machines.
 constexpr double kFailedOnMachineWeight = 1e6;
 constexpr double kOrdinaryForSpotWeight = 300;
 constexpr double kFetchWeight = 100;  // if the image has to be fetched, and per second of the fetch
 constexpr double kPriceWeight = 50;   // per multiple of the price of the cheapest CPU
-constexpr double kFreeCpusWeight = 10;  // times the ratio of free CPUs
-// Applied to the fetch time of an image that the machine is fetching already, so that tasks with
-// the same image are placed together.
+constexpr double kFreeCpusWeight = 10;  // multiplied by the free fraction of the CPUs
+// Multiplies the fetch time of an image that the machine is fetching already, so that tasks with
+// the same image tend to be placed together.
 constexpr double kSharedFetchRatio = 0.5;
 
 // Seconds to fetch the job's image if the machine fetches no other.
--- a/src/rooksill/placement/unmet_requests.h
+++ b/src/rooksill/placement/unmet_requests.h
@@ -9,11 +9,13 @@
 
 namespace rooksill::placement {
 
-// Skips the search for a machine where a request of the same class that is no larger found none in
-// this pass. With a long queue, nearly all shards are skipped this way.
+// Records the requests that found no machine in this pass, so that the search can be skipped for
+// requests of the same class that are at least as large. With a long queue, nearly all shards are
+// skipped this way.
 class UnmetRequests {
  public:
-  // Returns whether a request of the same class that is no larger in any resource found no machine.
+  // Returns whether the search can be skipped for the job: a request of the same class that is no
+  // larger in any resource found no machine.
   bool covers(const model::JobSpec& spec) const;
   // Records that the job's request found no machine. Ignores jobs with placement constraints, which
   // say nothing about the machines that they exclude.
--- a/src/rooksill/placement/work_order.h
+++ b/src/rooksill/placement/work_order.h
@@ -17,7 +17,8 @@
 };
 
 // Returns when the job should be finished, in seconds of the wall clock: the earliest objective of
-// its class that it can still meet. A job that can meet none is due long after all that can.
+// its class that it can still meet. A job that can meet none is due long after all jobs that can.
+// Without an objective, the job's own deadline or a multiple of its estimated run time applies.
 double due_time(const model::Job& job, const std::vector<Objective>& objectives, double now);
 
 // Sorts by descending priority, then by due time. Ties are broken by job id and shard, so that all
--- a/src/rooksill/store/client.h
+++ b/src/rooksill/store/client.h
@@ -42,6 +42,7 @@
 // whether the store responds. All times are in seconds of the steady clock.
 class Client {
  public:
+  // The settings must outlive the client.
   Client(const PlatformSettings& settings, CallFn call);
 
   using TransactionHandler = std::function<void(const TransactionResult&)>;
@@ -69,6 +70,7 @@
   // otherwise. The client does not enforce the reservation: callers of has_capacity_for() add
   // reserved_writes() to their own writes.
   void set_reserved_writes(double writes) { reserved_writes_ = writes; }
+  // Returns the number of writes that are reserved for job submissions.
   double reserved_writes() const { return reserved_writes_; }
 
   // Refills the rate limits. The limits in the settings apply to all controllers together: each of
@@ -76,7 +78,7 @@
   // its rate, the announced lower write limit (`state.next` in the settings) applies, if there is
   // one.
   void tick(double now, int live_controllers);
-  // Returns this controller's share of the write limit.
+  // Returns this controller's share of the write limit, in writes per second.
   double writes_per_s() const { return writes_per_s_; }
 
   // Returns when the last response arrived, other than "service unavailable" (503).
--- a/src/rooksill/store/committer.h
+++ b/src/rooksill/store/committer.h
@@ -20,11 +20,12 @@
 // controllers, so that no controller has to wait for its next watch to see them.
 class Committer {
  public:
-  Committer(runtime::Context& ctx, Replica& replica, Client& client)
-      : context_(ctx), replica_(replica), client_(client) {}
+  // All arguments must outlive the committer.
+  Committer(runtime::Context& context, Replica& replica, Client& client)
+      : context_(context), replica_(replica), client_(client) {}
 
-  // Sends a transaction as Client::transact() does. Applied writes are in the replica before `done`
-  // runs.
+  // Sends a transaction as Client::transact() does, and returns false in the same case. If the
+  // transaction is applied, its writes are in the replica before `done` runs.
   bool commit(const std::vector<Precondition>& preconditions, std::vector<Write> writes,
               Client::TransactionHandler done);
 
@@ -59,8 +60,8 @@
   runtime::Context& context_;
   Replica& replica_;
   Client& client_;
-  std::vector<wire::StoreUpdate> updates_;
-  std::map<uint64_t, Refresh> refreshes_;  // by the id of the refresh
+  std::vector<wire::StoreUpdate> updates_;  // not returned by pop_updates() yet
+  std::map<uint64_t, Refresh> refreshes_;   // by the id of the refresh
   uint64_t next_id_ = 1;
 };
 
--- a/src/rooksill/store/rate_limit.h
+++ b/src/rooksill/store/rate_limit.h
@@ -6,6 +6,7 @@
 // A token bucket with a capacity of one second's worth of tokens and a continuous refill.
 class RateLimit {
  public:
+  // Starts with a full bucket. `per_s` is the refill rate, in tokens per second.
   explicit RateLimit(double per_s) : rate_per_s_(per_s), tokens_(per_s) {}
 
   // Sets the refill rate, which is also the capacity, in tokens per second.
@@ -24,8 +25,8 @@
 
  private:
   double rate_per_s_;
-  double tokens_;  // negative after a request for more than the bucket held
-  double last_refill_ = 0;
+  double tokens_;           // negative after a request for more than the bucket held
+  double last_refill_ = 0;  // seconds of the steady clock
 };
 
 }  // namespace rooksill::store
--- a/src/rooksill/store/replica_changes.h
+++ b/src/rooksill/store/replica_changes.h
@@ -22,10 +22,10 @@
 // Collects changes while they are applied to the replica. Each consumer clears what it has
 // processed.
 struct ReplicaChanges {
-  std::vector<TaskEvent> events;  // in the order in which the changes were applied
-  std::set<std::string> changed_jobs;
-  std::unordered_set<std::string> changed_machines;
-  std::vector<std::string> cancelled;  // jobs, in the order in which the cancellation was learned
+  std::vector<TaskEvent> events;       // in the order in which the changes were applied
+  std::set<std::string> changed_jobs;  // ids
+  std::unordered_set<std::string> changed_machines;  // names
+  std::vector<std::string> cancelled;  // job ids, in the order in which they became known as such
 };
 
 }  // namespace rooksill::store
--- a/src/rooksill/store/replica_sync.cc
+++ b/src/rooksill/store/replica_sync.cc
@@ -35,7 +35,7 @@
   if (response.status != kOk) return std::nullopt;
   auto body = decode(response.body);
   if (body) return std::move(*body);
-  context_.debug("state", "{}", body.error().describe());
+  context_.debug("state", "response from the store rejected: {}", body.error().describe());
   return std::nullopt;
 }
 
--- a/src/rooksill/store/replica_sync.h
+++ b/src/rooksill/store/replica_sync.h
@@ -17,8 +17,9 @@
 // longer has the changes since the last watch. At most one request is in flight at a time.
 class ReplicaSync {
  public:
-  ReplicaSync(runtime::Context& ctx, Replica& replica, Client& client)
-      : context_(ctx), replica_(replica), client_(client) {}
+  // All arguments must outlive this object.
+  ReplicaSync(runtime::Context& context, Replica& replica, Client& client)
+      : context_(context), replica_(replica), client_(client) {}
 
   // Sends the next request when it is due.
   void tick();
