--- a/src/rooksill/changes/task_change_queue.cc
+++ b/src/rooksill/changes/task_change_queue.cc
@@ -13,9 +13,13 @@
 constexpr double kBackoffSeconds = 0.15;     // after the store refused a transaction
 constexpr double kGatherHeartbeats = 3;      // heartbeat intervals for which results are gathered
 constexpr size_t kMaxTransactionBytes = size_t{40} << 10;  // well below the store's limit
-constexpr double kTransactionWritesRatio = 0.6;            // of a second's writes, per transaction
-constexpr double kPlacementBacklogSeconds = 0.25;          // of writes, ahead of a new placement
-constexpr double kMinPlacementBacklogShards = 2;           // even if the store allows few writes
+// A transaction may have at most this fraction of the writes that are allowed in one second.
+constexpr double kTransactionWritesRatio = 0.6;
+// A placement may be queued if the shards to be written before it take at most this time at the
+// write limit.
+constexpr double kPlacementBacklogSeconds = 0.25;
+// Number of shards that may be ahead of a placement even if the write limit is low.
+constexpr double kMinPlacementBacklogShards = 2;
 }  // namespace
 
 TaskChangeQueue::TaskChangeQueue(runtime::Context& context, const store::Replica& replica,
@@ -207,7 +211,8 @@
       return;
     case store::TransactionOutcome::kConflict:
       context_.count("conflicts", static_cast<double>(shards.size()));
-      context_.debug("changes", "transaction of {} shards conflicts on key {}", shards.size(),
+      context_.debug("changes", "transaction with {} shards rejected: conflict on key {}",
+                     shards.size(),
                      result.conflicting_keys.empty() ? "" : result.conflicting_keys.front());
       mark_reading_back(shards);
       // Drops everything that was decided on stale revisions; it is decided again.
